--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -18,14 +18,14 @@
   view.deadline = 2000;
   view.effect = Effect::kSafe;
   settings.classes = {view};
-  settings.cold_from = 0.2;
-  settings.cold_for = 10000;
+  settings.cold_capacity_fraction = 0.2;
+  settings.warm_up_time = 10000;
   return settings;
 }
 
 struct Fleet {
   explicit Fleet(int servers) : policy(MakeSettings(), 1) {
-    ServerNews news;
+    MembershipUpdate news;
     for (int i = 0; i < servers; ++i) {
       Server server;
       server.id = "server-" + std::to_string(i);
@@ -33,17 +33,17 @@
       news.servers.push_back(server);
     }
     first = news.servers[0];
-    policy.handle(now, news, actions);
+    policy.Handle(now, news, actions);
     for (int i = 0; i < 2 * servers + 1000; ++i) Ask();  // most have been measured
   }
   void Ask() {
     now += 0.5;  // 2,000 a second: below the start's rate at any size
     actions.clear();
     const std::string id = std::to_string(++asked);
-    policy.handle(now, Request{id, "view", "", "", 2000, false}, actions);
+    policy.Handle(now, Request{id, "view", "", "", 2000, false}, actions);
     for (const Action& action : std::vector<Action>(actions)) {
       if (const auto* const send = std::get_if<Send>(&action))
-        policy.handle(now, Outcome{id, 0, send->server, Result::kServed, true, 5, {}}, actions);
+        policy.Handle(now, Outcome{id, 0, send->server, Result::kServed, true, 5, {}}, actions);
     }
   }
 
@@ -64,14 +64,15 @@
   for (auto _ : state) {
     fleet.first.state = std::exchange(up, !up) ? ServerState::kUp : ServerState::kDraining;
     fleet.actions.clear();
-    fleet.policy.handle(fleet.now += 1, ServerNews{ServerNews::Kind::kDelta, {fleet.first}}, fleet.actions);
+    fleet.policy.Handle(fleet.now += 1, MembershipUpdate{MembershipUpdate::Kind::kDelta, {fleet.first}},
+                        fleet.actions);
   }
 }
 void Sweep(benchmark::State& state) {
   Fleet fleet(static_cast<int>(state.range(0)));
   for (auto _ : state) {
     fleet.actions.clear();
-    fleet.policy.handle(fleet.now += 10, TimerDue{"sweep"}, fleet.actions);
+    fleet.policy.Handle(fleet.now += 10, TimerDue{"sweep"}, fleet.actions);
   }
 }
 
--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -17,14 +17,14 @@
 
   Server server;
   server.id = "10.0.0.7:8080";
-  policy.handle(0, ServerNews{ServerNews::Kind::kFull, {server}}, actions);
+  policy.Handle(0, MembershipUpdate{MembershipUpdate::Kind::kFull, {server}}, actions);
 
   Request request;
   request.id = "r1";
   request.class_name = "page";
   request.time_left = 1000;
   actions.clear();
-  policy.handle(5, request, actions);
+  policy.Handle(5, request, actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::cout << "send " << send->request << " to " << send->server << "\n";
@@ -35,7 +35,7 @@
       outcome.finished = true;
       outcome.latency = 31;
       std::vector<Action> more;
-      policy.handle(36, outcome, more);
+      policy.Handle(36, outcome, more);
       std::cout << "served\n";
       return 0;
     }
--- a/include/opalswitch/policy.hpp
+++ b/include/opalswitch/policy.hpp
@@ -23,7 +23,7 @@
 // while. Unsafe: never, unless every earlier attempt is known not to have run.
 enum class Effect { kSafe, kKeyed, kUnsafe };
 // For keyed classes: which servers drop each other's repeats.
-enum class Group { kAll, kZone, kCell };
+enum class DeduplicationScope { kAll, kZone, kCell };
 
 struct ClassSettings {
   std::string name;
@@ -32,7 +32,7 @@
   double worth = 1;
   double late_worth = 0;  // share of the worth earned between aim and deadline
   Effect effect = Effect::kUnsafe;
-  Group group = Group::kAll;
+  DeduplicationScope group = DeduplicationScope::kAll;
   Millis repeat_window = 0;  // keyed: how long repeats are dropped, from the first sending on
 };
 
@@ -44,27 +44,28 @@
 struct Settings {
   std::vector<ClassSettings> classes;  // at least one
   std::vector<TenantSettings> tenants;
-  std::string zone;           // where this gateway stands
-  int gateways = 1;           // gateways in front of the same servers, this one included
-  int index = -1;             // which of them this one is, from 0; -1 = unknown
-  bool ask_for_list = false;  // the server list answers only when asked (Watch)
-  Millis ask_within = 10000;  // ask mode: longest time without asking
+  std::string zone;                   // where this gateway stands
+  int gateways = 1;                   // gateways in front of the same servers, this one included
+  int index = -1;                     // which of them this one is, from 0; -1 = unknown
+  bool requires_watch = false;        // the server list answers only when asked (Watch)
+  Millis max_watch_interval = 10000;  // ask mode: longest time without asking
   int max_attempts = 3;
-  int most_out = 0;  // attempts out at once that the gateway has room for, over all servers; 0 = any number
-  int streams = 1;   // attempts that one connection to a server carries together
-  bool may_cancel = false;
-  double cold_from = 1;        // a started server can do at least this share of its work ...
-  Millis cold_for = 0;         // ... and all of it after this long
-  double fall_multiple = 3;    // a cold server falls over when sent this multiple of what it can do
-  bool warm_keys = false;      // a server that met a key lately does less work for it
-  bool marks_retry = false;    // clients say of a request that it is a further try
-  bool retry_after = false;    // clients are told a Refuse's retry_after
-  Millis max_retry_after = 0;  // and heed at most this
+  int max_in_flight =
+      0;  // attempts out at once that the gateway has room for, over all servers; 0 = any number
+  int streams_per_connection = 1;  // attempts that one connection to a server carries together
+  bool can_cancel = false;
+  double cold_capacity_fraction = 1;  // a started server can do at least this share of its work ...
+  Millis warm_up_time = 0;            // ... and all of it after this long
+  double overload_multiple = 3;       // a cold server falls over when sent this multiple of what it can do
+  bool has_key_affinity = false;      // a server that met a key lately does less work for it
+  bool clients_mark_retries = false;  // clients say of a request that it is a further try
+  bool sends_retry_after = false;     // clients are told a Refuse's retry_after
+  Millis max_retry_after = 0;         // and heed at most this
   // How the service is judged, in parts of any sum: by the worth of all that is answered within its aim, and
   // by the share so answered of the class that fares worst.
-  double whole_part = 1;
-  double worst_class_part = 0;
-  std::vector<std::string> report_fields;  // names of the values in Outcome::load
+  double total_worth_weight = 1;
+  double worst_class_weight = 0;
+  std::vector<std::string> load_report_fields;  // names of the values in Outcome::load
 };
 
 // ---- Events: what the gateway tells its Policy -------------------------------------------------
@@ -106,7 +107,7 @@
   Result result = Result::kServed;
   bool finished = false;     // the request is over: by this outcome or before it
   Millis latency = 0;        // since the Send
-  std::vector<double> load;  // the server's load report, as in Settings::report_fields; may be empty
+  std::vector<double> load;  // the server's load report, as in Settings::load_report_fields; may be empty
 };
 
 // The client has left; nothing is owed for the request any more.
@@ -133,34 +134,34 @@
 
 // News of the servers. A full list replaces what was known; a delta changes only what it names.
 // A failed call carries no servers: the last list stays valid.
-struct ServerNews {
+struct MembershipUpdate {
   enum class Kind { kFull, kDelta, kFailed };
   Kind kind = Kind::kFull;
   std::vector<Server> servers;
 };
 
-using Event = std::variant<Request, StreamStarted, Outcome, ClientGone, TimerDue, ServerNews>;
+using Event = std::variant<Request, StreamStarted, Outcome, ClientGone, TimerDue, MembershipUpdate>;
 
 // ---- Actions: what the gateway is to do, in this order -----------------------------------------
 
 // Why a request is refused or failed, for people: nothing may be decided by it.
 enum class Cause {
   kUnknownClass,
-  kTooLate,     // it came with too little time left to be answered, or to be worth anything
-  kQueue,       // its class's queue is full
-  kShare,       // it gave way to requests within their share
-  kRate,        // it waited for a token as long as it may
-  kLimits,      // the same, for a server that takes more
-  kNoServer,    // the same, and none is trusted
-  kRoom,        // the same, for a connection of the gateway's own
-  kMayHaveRun,  // an attempt broke that may have run, and must not run twice
-  kSlowAnswer,  // its server answers others, but not it
-  kNoTime,      // an attempt broke, and another could not be in time
-  kAttempts,    // all attempts that it may have broke
-  kResends,     // an attempt broke, and servers are too busy for more resends
+  kInsufficientTime,      // it came with too little time left to be answered, or to be worth anything
+  kQueueFull,             // its class's queue is full
+  kOverQuota,             // it gave way to requests within their share
+  kRateLimited,           // it waited for a token as long as it may
+  kConcurrencyLimited,    // the same, for a server that takes more
+  kNoHealthyServer,       // the same, and none is trusted
+  kNoConnection,          // the same, for a connection of the gateway's own
+  kMayHaveRun,            // an attempt broke that may have run, and must not run twice
+  kSlowResponse,          // its server answers others, but not it
+  kNoTimeForRetry,        // an attempt broke, and another could not be in time
+  kAttemptsExhausted,     // all attempts that it may have broke
+  kRetryBudgetExhausted,  // an attempt broke, and servers are too busy for more resends
 };
 // In one word, "queue", by which logs and clients are told of it.
-const char* ToWord(Cause cause);
+const char* CauseName(Cause cause);
 
 // Start an attempt. After `timeout` it ends with kTimedOut.
 struct Send {
@@ -188,7 +189,7 @@
   Millis delay = 0;
   std::string name;
 };
-// Subscribe to changes of the server list; answered by ServerNews. Only in ask mode.
+// Subscribe to changes of the server list; answered by MembershipUpdate. Only in ask mode.
 struct Watch {};
 // A line for the gateway's log.
 struct Log {
@@ -198,11 +199,11 @@
 using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Watch, Log>;
 
 // What a Policy makes of a server, for those who hand its decisions on to proxies instead of sending.
-struct Verdict {
+struct ServerStatus {
   std::string server;
   double weight = 0;     // part of the requests that it should get, relative to the others': its size, times
                          // its warmth, times how much faster than the usual server it answers
-  bool suspect = false;  // left out for failing
+  bool ejected = false;  // left out for failing
 };
 
 class Policy {
@@ -215,10 +216,10 @@
 
   // Handles one event at time `now`, which never runs backwards, and appends what is to be done
   // to `actions` (which is not cleared). Give it the server list first: nothing is sent before.
-  void handle(Millis now, const Event& event, std::vector<Action>& actions);
+  void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
   // Of the servers that are up, in the order of their ids, as of the last event.
-  std::vector<Verdict> Verdicts() const;
+  std::vector<ServerStatus> ServerStatuses() const;
 
  private:
   class Impl;
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -178,7 +178,7 @@
     // A client that waits to its deadline gets an answer until then, unless the operators say it is worth
     // nothing.
     s.late_worth = f.Number("late_worth", 0, 1).value_or(kUsualLateWorth);
-    s.group = static_cast<Group>(f.Choice("group", {"all", "zone", "cell"}).value_or(0));
+    s.group = static_cast<DeduplicationScope>(f.Choice("group", {"all", "zone", "cell"}).value_or(0));
     s.repeat_window = f.Duration("repeat_window", true).value_or(0);
     if (s.effect == Effect::kKeyed && s.repeat_window <= 0 && !f.Has("repeat_window")) {
       f.Missing("repeat_window", "a time with its unit: how long hosts drop repeats of a keyed request");
@@ -315,22 +315,22 @@
     pool.strict = f.Choice("drain", {"static", "strict"}).value_or(0) == 1;
     Settings& s = pool.settings;
     s.max_attempts = static_cast<int>(f.Whole("attempts", 1, 16).value_or(3));
-    s.most_out = static_cast<int>(in_flight);
+    s.max_in_flight = static_cast<int>(in_flight);
     s.gateways = gateways_;
     s.index = index_;
     s.zone = zone_;
-    s.may_cancel = true;
-    s.retry_after = true;
+    s.can_cancel = true;
+    s.sends_retry_after = true;
     s.max_retry_after = 30000;
-    s.marks_retry = !services_.headers.retry.empty();
-    s.report_fields = f.Texts("load_report");
+    s.clients_mark_retries = !services_.headers.retry.empty();
+    s.load_report_fields = f.Texts("load_report");
     if (const auto* const table = f.Table("cold")) {
       Fields c(*table, f.PathOf("cold"), issues_);
-      s.cold_from =
+      s.cold_capacity_fraction =
           c.Need("from", c.Number("from", 0.001, 1), "the part of its work that a started host can do");
-      s.cold_for = c.Need("for", c.Duration("for"), "the time until a started host can do all of it");
-      s.fall_multiple = c.Number("fall_multiple", 0.1, 1000).value_or(3);
-      if (!(s.cold_from > 0)) s.cold_from = 1;
+      s.warm_up_time = c.Need("for", c.Duration("for"), "the time until a started host can do all of it");
+      s.overload_multiple = c.Number("fall_multiple", 0.1, 1000).value_or(3);
+      if (!(s.cold_capacity_fraction > 0)) s.cold_capacity_fraction = 1;
     }
     for (const ServiceClass& c : services_.classes) s.classes.push_back(c.settings);
     if (const auto* const table = f.Table("effects")) ReadEffects(f, *table, s);
@@ -391,9 +391,9 @@
     }
     for (const TenantSettings& t : s.tenants) out << "tenant " << t.name << ' ' << t.quota_per_s << '\n';
     out << "module " << s.zone << '|' << s.gateways << ' ' << s.index << ' ' << s.max_attempts << ' '
-        << s.most_out << ' ' << s.cold_from << ' ' << s.cold_for << ' ' << s.fall_multiple << ' '
-        << s.marks_retry << '\n';
-    for (const std::string& field : s.report_fields) out << "report " << field << '\n';
+        << s.max_in_flight << ' ' << s.cold_capacity_fraction << ' ' << s.warm_up_time << ' '
+        << s.overload_multiple << ' ' << s.clients_mark_retries << '\n';
+    for (const std::string& field : s.load_report_fields) out << "report " << field << '\n';
     out << "gate " << pool.gate.requests_per_s << ' ' << pool.gate.burst << ' ' << pool.gate.held << ' '
         << pool.reread_per_s << '\n';
     for (const Portion* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,7 +17,7 @@
 // The module is told how many attempts there are descriptors for.
 Settings Fitted(const Config& config) {
   Settings settings = config.settings;
-  settings.most_out = static_cast<int>(HostSockets(config.sockets));
+  settings.max_in_flight = static_cast<int>(HostSockets(config.sockets));
   return settings;
 }
 
@@ -48,14 +48,14 @@
       stop_(io, clients_, [this] { pool_->FailRest(); }) {
   clients_.Listen("", config.listen);
   pool_->Told(config.known);
-  if (!settings_.ask_for_list) discovery_.Watch();
+  if (!settings_.requires_watch) discovery_.Watch();
 }
 
 void Gateway::Reload(const Config& config) { discovery_.Move(config.discovery); }
 
 void Gateway::ListFailed() {
   pool_->ListFailed();
-  if (settings_.ask_for_list) return;  // the policy says when to ask again
+  if (settings_.requires_watch) return;  // the policy says when to ask again
   discovery_.WatchLater();
 }
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -65,9 +65,9 @@
   if (call.http.count("Req-Id") == 0) call.http.set("Req-Id", call.id);
 }
 
-ServerNews ToNews(const HostList& list) {
-  ServerNews news;
-  news.kind = list.complete ? ServerNews::Kind::kFull : ServerNews::Kind::kDelta;
+MembershipUpdate ToNews(const HostList& list) {
+  MembershipUpdate news;
+  news.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
   for (const Host& host : list.hosts) news.servers.push_back(host.server);
   return news;
 }
@@ -137,7 +137,7 @@
                   result,
                   false,
                   Now() - ended.sent,
-                  ParseLoad({report.data(), report.size()}, options_.settings.report_fields)};
+                  ParseLoad({report.data(), report.size()}, options_.settings.load_report_fields)};
   if (options_.plain && result == Result::kError) {
     flow->error = std::make_shared<HttpResponse>(response);
     StripHopByHop(*flow->error);
@@ -176,7 +176,7 @@
       outcome->finished = flow == nullptr || flow->answered;
     }
     actions.clear();
-    policy_.handle(Now(), next, actions);
+    policy_.Handle(Now(), next, actions);
     for (const Action& action : actions) {
       std::visit([this](const auto& a) { Do(a); }, action);
     }
@@ -211,7 +211,7 @@
   HttpResponse response(http::status::service_unavailable, 11);
   response.set(http::field::retry_after,
                options_.plain ? WholeSeconds(refuse.retry_after) : Seconds(refuse.retry_after));
-  Decline(*flow, ledger::Fate::kRefused, std::move(response), ToWord(refuse.cause));
+  Decline(*flow, ledger::Fate::kRefused, std::move(response), CauseName(refuse.cause));
   Settle(refuse.request);
 }
 
@@ -221,10 +221,10 @@
   // A host's own error is passed on. Not with a status that says "try again": it may have run.
   const unsigned status = flow->error ? flow->error->result_int() : 0;
   if (status != 0 && status != 503) {
-    if (!flow->answered) Ended(*flow, ledger::Fate::kFailed, ToWord(fail.cause));
+    if (!flow->answered) Ended(*flow, ledger::Fate::kFailed, CauseName(fail.cause));
     Answer(*flow, std::move(*flow->error));
   } else {
-    Decline(*flow, ledger::Fate::kFailed, HttpResponse(http::status::bad_gateway, 11), ToWord(fail.cause));
+    Decline(*flow, ledger::Fate::kFailed, HttpResponse(http::status::bad_gateway, 11), CauseName(fail.cause));
   }
   Settle(fail.request);
 }
@@ -276,11 +276,11 @@
   char at[32];
   std::snprintf(at, sizeof at, "%.1f", Now() / 1000);
   std::string line = std::string("hosts at=") + at + " out=" + std::to_string(hosts_.active());
-  for (const Verdict& verdict : policy_.Verdicts()) {
+  for (const ServerStatus& verdict : policy_.ServerStatuses()) {
     char share[32];
     std::snprintf(share, sizeof share, "=%.2f", verdict.weight);
-    if (verdict.suspect) line += " suspect." + verdict.server;
-    if (!verdict.suspect && verdict.weight < kSlowShare) line += " slow." + verdict.server + share;
+    if (verdict.ejected) line += " suspect." + verdict.server;
+    if (!verdict.ejected && verdict.weight < kSlowShare) line += " slow." + verdict.server + share;
   }
   Do(Log{line});
 }
@@ -308,7 +308,7 @@
   }
 }
 
-void Pool::ListFailed() { Report(ServerNews{ServerNews::Kind::kFailed, {}}); }
+void Pool::ListFailed() { Report(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
 
 void Pool::Gone(const std::string& id) {
   if (Flow* const flow = Find(id)) {
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -134,8 +134,8 @@
   member->bodies = bodies_.Join(0, most(from.body_memory));
   Settings settings = from.settings;
   const auto all = std::min<std::uint64_t>(descriptors_.total(), most(from.descriptors));
-  const auto wanted = static_cast<std::uint64_t>(settings.most_out);
-  settings.most_out = static_cast<int>(wanted > 0 ? std::min(wanted, all) : all);
+  const auto wanted = static_cast<std::uint64_t>(settings.max_in_flight);
+  settings.max_in_flight = static_cast<int>(wanted > 0 ? std::min(wanted, all) : all);
   HostPool::Limits upstream;
   upstream.dial_timeout = from.dial_timeout;
   upstream.idle_timeout = from.idle_timeout;
--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -72,13 +72,13 @@
   const bool in_time = now_ + classes_[flow.cls].latency < (c.late_worth > 0 ? flow.leaves_at : flow.aim_at);
   const bool more = static_cast<int>(flow.attempts.size()) < set_.max_attempts;
   if (!legal) return Answer(flow, Cause::kMayHaveRun);
-  if (heavy) return Answer(flow, Cause::kSlowAnswer);
-  if (!in_time) return Answer(flow, Cause::kNoTime);
-  if (!more) return Answer(flow, Cause::kAttempts);
+  if (heavy) return Answer(flow, Cause::kSlowResponse);
+  if (!in_time) return Answer(flow, Cause::kNoTimeForRetry);
+  if (!more) return Answer(flow, Cause::kAttemptsExhausted);
   // Resends are counted only where they add to a jam, or what failed may be one: else nothing is short.
   const bool full = result == Result::kRejected || result == Result::kTimedOut;
   if (full || queued_ > 0 || Crowded()) {
-    if (retry_budget_ < 1) return Answer(flow, Cause::kResends);
+    if (retry_budget_ < 1) return Answer(flow, Cause::kRetryBudgetExhausted);
     retry_budget_ -= 1;
   }
   Hold(flow, classes_[flow.cls].retries);
@@ -87,15 +87,15 @@
 // The final answer to a request with no attempt out. A refusal says that trying again is harmless.
 void Policy::Impl::Answer(Flow& flow, Cause cause) {
   const ClassSettings& c = classes_[flow.cls].set;
-  const bool harmless =
-      flow.NeverRan() || c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == Group::kAll);
+  const bool harmless = flow.NeverRan() || c.effect == Effect::kSafe ||
+                        (c.effect == Effect::kKeyed && c.group == DeduplicationScope::kAll);
   Emit(harmless ? Action(Refuse{flow.id, RetryAfter(), cause}) : Action(Fail{flow.id, cause}));
   flow.answered = true;
   Settle(flow);
 }
 
 Millis Policy::Impl::RetryAfter() const {
-  if (!set_.retry_after) return 0;
+  if (!set_.sends_retry_after) return 0;
   // With no queue a place comes free, on average, within half of the time that an answer takes.
   const Millis queue = 1000 * static_cast<double>(queued_) / std::max(spent_rate_, 1.0);
   return std::min(set_.max_retry_after, std::max({queue, mean_latency_ / 2, kLeastRetryAfter}));
--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -30,7 +30,7 @@
  public:
   Impl(Settings settings, std::uint64_t seed);
   void Handle(Millis now, const Event& event, std::vector<Action>& out);
-  std::vector<Verdict> Verdicts() const;
+  std::vector<ServerStatus> ServerStatuses() const;
 
  private:
   // policy.cpp
@@ -41,9 +41,9 @@
   void Emit(Action action) { out_->push_back(std::move(action)); }
   void Say(std::string text);
   // membership.cpp
-  void On(const ServerNews& news);
+  void On(const MembershipUpdate& news);
   Millis AskSpread() const;
-  void Place(Backend& b) { fleet_.Place(b, now_, b.cold_since + set_.cold_for); }
+  void Place(Backend& b) { fleet_.Place(b, now_, b.cold_since + set_.warm_up_time); }
   void OrderRing();
   void ChooseSubset(Backend* only = nullptr);
   Backend& Learn(const Server& s);
@@ -53,14 +53,14 @@
   double ColdRate(const Backend& b) const;
   bool Many() const { return sharers_ > kManySharers; }
   // Where many share servers that report, each gateway keeps to a rate for each server that the reports set.
-  bool Metered() const { return Many() && busy_at_ < set_.report_fields.size(); }
+  bool Metered() const { return Many() && busy_at_ < set_.load_report_fields.size(); }
   bool Budgeted(const Backend& b) const { return Metered() || Warmth(b) < 1; }
   double Budget(const Backend& b) const;
   void Adjust(Backend& b, double busy);
   bool WithinBudget(Backend& b);
   void LearnReference(Millis passed);
   // limits.cpp
-  double Slack() const { return set_.warm_keys ? kWarmSlack : kSlack; }
+  double Slack() const { return set_.has_key_affinity ? kWarmSlack : kSlack; }
   bool Ready(Backend& b, bool in_share);
   double Overuse(const Backend& b) const;
   void Hear(Backend& b, const std::vector<double>& load);
@@ -103,7 +103,7 @@
   Millis HoldUntil(const Flow& flow) const;
   void ExpireQueued();
   // A gateway out of connections could only fail to send, which would cost a token and an attempt.
-  bool Room() const { return set_.most_out <= 0 || out_now_ < set_.most_out; }
+  bool Room() const { return set_.max_in_flight <= 0 || out_now_ < set_.max_in_flight; }
   void Release();
   // attempts.cpp
   void Dispatch(Flow& flow, Backend& b);
--- a/src/module/limits.cpp
+++ b/src/module/limits.cpp
@@ -77,7 +77,7 @@
 // A server that keeps warm for its keys holds more before it is crowded, from the start on.
 double Policy::Impl::StartLimit() const {
   const double most = mean_cost_ > 0 ? kGuessStart : kStartLimit;
-  return (busy_at_ < set_.report_fields.size() ? kReportStart : most * Slack() / kSlack) / sharers_;
+  return (busy_at_ < set_.load_report_fields.size() ? kReportStart : most * Slack() / kSlack) / sharers_;
 }
 
 }  // namespace opalswitch
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -12,18 +12,18 @@
 
 // Over this time the calls of all gateways are spread, where all may call at once.
 Millis Policy::Impl::AskSpread() const {
-  return std::min(kAskTurn * (set_.gateways - 1), set_.ask_within / 2);
+  return std::min(kAskTurn * (set_.gateways - 1), set_.max_watch_interval / 2);
 }
 
-void Policy::Impl::On(const ServerNews& news) {
-  if (news.kind == ServerNews::Kind::kFailed) {
+void Policy::Impl::On(const MembershipUpdate& news) {
+  if (news.kind == MembershipUpdate::Kind::kFailed) {
     // Ask later each time, never all at once: calls that time out in a line are worked through nevertheless.
-    ask_gap_ = std::min(std::max({kAskGap, AskSpread(), ask_gap_ * 2}), set_.ask_within / 2);
+    ask_gap_ = std::min(std::max({kAskGap, AskSpread(), ask_gap_ * 2}), set_.max_watch_interval / 2);
     ask_at_ = now_ + ask_gap_ * (0.5 + Uniform());
     return;
   }
   ask_gap_ = 0;
-  const bool full = news.kind == ServerNews::Kind::kFull;
+  const bool full = news.kind == MembershipUpdate::Kind::kFull;
   if (full) {
     for (auto& [id, b] : servers_) b.up = false, gone_.insert(id);
     up_ = 0;
@@ -65,7 +65,7 @@
 // ring. The next comes in for one that is ejected. `only`: nothing but this server has changed.
 void Policy::Impl::ChooseSubset(Backend* only) {
   const double all = up_;
-  const double part = set_.streams > 1 ? kHeldPart : 1;
+  const double part = set_.streams_per_connection > 1 ? kHeldPart : 1;
   const double wanted = part * std::max(kLeastServers, kSharers * all / set_.gateways);
   const bool whole = wanted >= all;
   if (!whole && only != nullptr && all > kFewServers && now_ < subset_at_) {
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -37,8 +37,8 @@
   if (first == nullptr) return true;
   if (now_ - first->sent >= c.repeat_window) return false;
   const Server& at = first->server->info;
-  if (c.group == Group::kZone) return at.zone == b.info.zone;
-  return c.group == Group::kAll || at.cell == b.info.cell;
+  if (c.group == DeduplicationScope::kZone) return at.zone == b.info.zone;
+  return c.group == DeduplicationScope::kAll || at.cell == b.info.cell;
 }
 
 // Whether it is ready for nobody now. Then it is kept apart until its time, or an event, may change that.
@@ -80,7 +80,7 @@
     if (Backend* const b = fleet_.Trial(now_, kMostLooks, fits)) return b;
   }
   fleet_.Wake(now_, kMostLooks);
-  const bool by_key = set_.warm_keys && flow.key != 0;
+  const bool by_key = set_.has_key_affinity && flow.key != 0;
   if (!by_key && fleet_.open() > kFewServers) {
     Backend* const one = Sample(flow, may, nullptr);
     Backend* const two = one == nullptr ? nullptr : Sample(flow, may, one);
--- a/src/module/policy.cpp
+++ b/src/module/policy.cpp
@@ -11,7 +11,7 @@
   set_ = std::move(settings);
   random_.seed(seed);
   const double worth = Validate(set_);
-  const auto& fields = set_.report_fields;
+  const auto& fields = set_.load_report_fields;
   place_ = set_.index < 0 ? Uniform() : std::fmod(set_.index * 0.6180339887498949, 1.0);
   busy_at_ = std::find(fields.begin(), fields.end(), "util") - fields.begin();
   for (const ClassSettings& c : set_.classes) {
@@ -30,7 +30,7 @@
   const bool first = !std::exchange(started_, true);
   std::visit([this](const auto& e) { On(e); }, event);
   if (first) {  // who knows hosts waits for a turn: many gateways may start together
-    if (set_.ask_for_list && up_ > 0) ask_at_ = now_ + AskSpread() * Uniform();
+    if (set_.requires_watch && up_ > 0) ask_at_ = now_ + AskSpread() * Uniform();
     swept_at_ = now_;
     Sweep();
   }
@@ -38,13 +38,13 @@
 }
 
 // The same preference as shares, for proxies that are told them now and then; it starves nobody either.
-std::vector<Verdict> Policy::Impl::Verdicts() const {
+std::vector<ServerStatus> Policy::Impl::ServerStatuses() const {
   std::vector<double> known;
   for (const auto& [id, b] : servers_) {
     if (b.up && !b.suspect && b.latency > 0) known.push_back(b.latency);
   }
   const double middle = MiddleOf(known);
-  std::vector<Verdict> all;
+  std::vector<ServerStatus> all;
   for (const auto& [id, b] : servers_) {
     if (!b.up) continue;
     const double faster = b.latency > 0 && middle > 0 ? middle / b.latency : 1;
@@ -60,7 +60,7 @@
   Flow& flow = *known;
   Unqueue(flow);
   flow.answered = true;
-  for (std::size_t i = 0; set_.may_cancel && i < flow.attempts.size(); ++i) {
+  for (std::size_t i = 0; set_.can_cancel && i < flow.attempts.size(); ++i) {
     if (flow.attempts[i].out) Emit(Cancel{flow.id, static_cast<int>(i)});
   }
   Settle(flow);
@@ -72,7 +72,7 @@
 
 void Policy::Impl::Sweep() {
   Emit(SetTimer{kSweepEvery, "sweep"});
-  if (set_.ask_for_list && now_ >= ask_at_) {
+  if (set_.requires_watch && now_ >= ask_at_) {
     Emit(Watch{});
     ask_at_ = std::numeric_limits<Millis>::infinity();
   }
@@ -96,10 +96,10 @@
 Policy::Policy(Policy&&) noexcept = default;
 Policy& Policy::operator=(Policy&&) noexcept = default;
 
-void Policy::handle(Millis now, const Event& event, std::vector<Action>& actions) {
+void Policy::Handle(Millis now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
 
-std::vector<Verdict> Policy::Verdicts() const { return impl_->Verdicts(); }
+std::vector<ServerStatus> Policy::ServerStatuses() const { return impl_->ServerStatuses(); }
 
 }  // namespace opalswitch
--- a/src/module/queues.cpp
+++ b/src/module/queues.cpp
@@ -22,7 +22,7 @@
 // A class's weight is what a token is worth there: to the whole by its requests' own worth, and to the class
 // that fares worst as far as that counts. By how many there are of each: alike weights leave alike shares.
 void Policy::Impl::Weigh(Millis passed) {
-  if (set_.worst_class_part <= 0) return;
+  if (set_.worst_class_weight <= 0) return;
   const double keep = std::exp(-passed / kFareMemory);
   double least = 1, asked = 0, worth = 0, behind = 0, sum = 0;
   for (Tier& c : classes_) {
@@ -36,8 +36,8 @@
   const auto lag = [&](const Tier& c) { return std::exp((least - c.Fares()) / kFareStep); };
   for (const Tier& c : classes_) behind += c.asked * lag(c);
   for (Tier& c : classes_) {
-    c.weight =
-        c.asked * asked * (set_.whole_part * c.set.worth / worth + set_.worst_class_part * lag(c) / behind);
+    c.weight = c.asked * asked *
+               (set_.total_worth_weight * c.set.worth / worth + set_.worst_class_weight * lag(c) / behind);
     sum += c.weight;
   }
   for (Tier& c : classes_) c.weight /= sum;
@@ -80,24 +80,25 @@
   // A further try has less time left than a first one. If its aim is long past, it is worth as little as what
   // is beyond a share: a jam would feed on late answers. Where clients mark further tries, what first tries
   // have left is their mean: a single client with more time than is usual must not make all others look late.
-  if (!set_.marks_retry) {
+  if (!set_.clients_mark_retries) {
     c.most_left = std::max(c.most_left, left);
   } else if (!r.retry) {
     c.most_left += (c.most_left > 0 ? kFirstLeft : 1) * (std::min(left, c.set.deadline) - c.most_left);
   }
-  const bool further = set_.marks_retry ? r.retry : true;
+  const bool further = set_.clients_mark_retries ? r.retry : true;
   const Millis spent = further && left < kFirstTry * c.most_left ? std::max(0.0, c.set.deadline - left) : 0;
   const bool late = spent >= c.set.aim;
   flow.aim_at = std::min(now_ + c.set.aim, flow.leaves_at);
   flow.in_share = !late && InShare(r.tenant, r.retry);
   retry_budget_ = std::min(retry_budget_ + kRetryShare, kRetryBurst);
-  if ((late && c.set.late_worth <= 0) || left <= 0) return Answer(flow, Cause::kTooLate);  // worth nothing
-  if (!flow.in_share && sharers_ > kSpareSharers) return Answer(flow, Cause::kShare);
+  if ((late && c.set.late_worth <= 0) || left <= 0)
+    return Answer(flow, Cause::kInsufficientTime);  // worth nothing
+  if (!flow.in_share && sharers_ > kSpareSharers) return Answer(flow, Cause::kOverQuota);
   if (queued_ == 0 && tokens_ > 0 && Room()) {
     if (Backend* b = Pick(flow)) return Dispatch(flow, *b);
   }
   if (now_ >= flow.leaves_at - kAnswerBefore)
-    return Answer(flow, Cause::kTooLate);  // no sweep may come in time
+    return Answer(flow, Cause::kInsufficientTime);  // no sweep may come in time
   Enqueue(flow);
 }
 
@@ -105,10 +106,10 @@
   Tier& c = classes_[flow.cls];
   const double most = spent_rate_ * c.set.aim / 1000 + 32;  // more can't be served in time
   if (static_cast<double>(c.Size()) >= most) {
-    if (!flow.in_share || c.over_share.empty()) return Answer(flow, Cause::kQueue);
+    if (!flow.in_share || c.over_share.empty()) return Answer(flow, Cause::kQueueFull);
     Flow* evicted = c.over_share.back();
     Unqueue(*evicted);
-    Answer(*evicted, Cause::kShare);
+    Answer(*evicted, Cause::kOverQuota);
   }
   Hold(flow, flow.in_share ? c.in_share : c.over_share);
 }
@@ -130,10 +131,10 @@
       }
     }
   }
-  const Cause cause = tokens_ <= 0             ? Cause::kRate
-                      : !Room()                ? Cause::kRoom
-                      : fleet_.limits() < 1e-6 ? Cause::kNoServer
-                                               : Cause::kLimits;
+  const Cause cause = tokens_ <= 0             ? Cause::kRateLimited
+                      : !Room()                ? Cause::kNoConnection
+                      : fleet_.limits() < 1e-6 ? Cause::kNoHealthyServer
+                                               : Cause::kConcurrencyLimited;
   for (Flow* flow : due_) {
     Unqueue(*flow);
     Answer(*flow, cause);
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -16,21 +16,21 @@
 
 }  // namespace
 
-const char* ToWord(Cause cause) {
+const char* CauseName(Cause cause) {
   switch (cause) {
     case Cause::kUnknownClass: return "class";
-    case Cause::kTooLate: return "late";
-    case Cause::kQueue: return "queue";
-    case Cause::kShare: return "share";
-    case Cause::kRate: return "rate";
-    case Cause::kLimits: return "limits";
-    case Cause::kNoServer: return "hosts";
-    case Cause::kRoom: return "room";
+    case Cause::kInsufficientTime: return "late";
+    case Cause::kQueueFull: return "queue";
+    case Cause::kOverQuota: return "share";
+    case Cause::kRateLimited: return "rate";
+    case Cause::kConcurrencyLimited: return "limits";
+    case Cause::kNoHealthyServer: return "hosts";
+    case Cause::kNoConnection: return "room";
     case Cause::kMayHaveRun: return "ran";
-    case Cause::kSlowAnswer: return "slow";
-    case Cause::kNoTime: return "time";
-    case Cause::kAttempts: return "attempts";
-    case Cause::kResends: return "resends";
+    case Cause::kSlowResponse: return "slow";
+    case Cause::kNoTimeForRetry: return "time";
+    case Cause::kAttemptsExhausted: return "attempts";
+    case Cause::kRetryBudgetExhausted: return "resends";
   }
   return "unknown";
 }
@@ -40,13 +40,14 @@
   Check(s.classes.size() <= 64, "classes: more than 64");
   Check(s.gateways >= 1, "gateways: must be at least 1");
   Check(s.max_attempts >= 1, "max_attempts: must be at least 1");
-  Check(Positive(s.cold_from) && s.cold_from <= 1, "cold_from: must be in (0, 1]");
-  Check(NotNegative(s.cold_for), "cold_for: must not be negative");
-  Check(Positive(s.fall_multiple), "fall_multiple: must be above 0");
-  Check(s.streams >= 1, "streams: must be at least 1");
-  Check(Positive(s.ask_within), "ask_within: must be above 0");
-  Check(NotNegative(s.whole_part), "whole_part: must not be negative");
-  Check(NotNegative(s.worst_class_part), "worst_class_part: must not be negative");
+  Check(Positive(s.cold_capacity_fraction) && s.cold_capacity_fraction <= 1,
+        "cold_capacity_fraction: must be in (0, 1]");
+  Check(NotNegative(s.warm_up_time), "warm_up_time: must not be negative");
+  Check(Positive(s.overload_multiple), "overload_multiple: must be above 0");
+  Check(s.streams_per_connection >= 1, "streams_per_connection: must be at least 1");
+  Check(Positive(s.max_watch_interval), "max_watch_interval: must be above 0");
+  Check(NotNegative(s.total_worth_weight), "total_worth_weight: must not be negative");
+  Check(NotNegative(s.worst_class_weight), "worst_class_weight: must not be negative");
   Check(NotNegative(s.max_retry_after), "max_retry_after: must not be negative");
   double worth = 0;
   for (const ClassSettings& c : s.classes) {
--- a/src/module/warm_up.cpp
+++ b/src/module/warm_up.cpp
@@ -16,14 +16,15 @@
 // The share of its capacity that a started server surely has by now.
 double Policy::Impl::Warmth(const Backend& b) const {
   const Millis age = now_ - b.cold_since;
-  if (age >= set_.cold_for) return 1;
-  return set_.cold_from + (1 - set_.cold_from) * std::max(0.0, age) / set_.cold_for;
+  if (age >= set_.warm_up_time) return 1;
+  return set_.cold_capacity_fraction +
+         (1 - set_.cold_capacity_fraction) * std::max(0.0, age) / set_.warm_up_time;
 }
 
 // What this gateway may send it, per ms. The reference is over all servers: those few that use one share it.
 double Policy::Impl::ColdRate(const Backend& b) const {
   const double part = set_.gateways / sharers_;
-  return kColdShare * set_.fall_multiple * Warmth(b) * b.info.weight * reference_ * part;
+  return kColdShare * set_.overload_multiple * Warmth(b) * b.info.weight * reference_ * part;
 }
 
 // Requests per ms that this gateway may send one that is budgeted.
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -137,7 +137,9 @@
     if (value != "all" && value != "zone" && value != "cell") {
       throw std::invalid_argument("classes.group: unknown '" + std::string(value) + "'");
     }
-    c.group = value == "all" ? Group::kAll : value == "zone" ? Group::kZone : Group::kCell;
+    c.group = value == "all"    ? DeduplicationScope::kAll
+              : value == "zone" ? DeduplicationScope::kZone
+                                : DeduplicationScope::kCell;
   }
 }
 
@@ -163,38 +165,38 @@
   } else if (key == "selfIndex") {
     s.index = static_cast<int>(number());
   } else if (key == "membershipMode") {
-    s.ask_for_list = value == "ask";
+    s.requires_watch = value == "ask";
   } else if (key == "limits.maxAttempts") {
     s.max_attempts = static_cast<int>(number());
   } else if (key == "limits.multiplex") {
-    s.streams = static_cast<int>(number());
+    s.streams_per_connection = static_cast<int>(number());
   } else if (key == "limits.cancelling") {
-    s.may_cancel = flag();
+    s.can_cancel = flag();
   } else if (key == "clientHabits.marksRetry") {
-    s.marks_retry = flag();
+    s.clients_mark_retries = flag();
   } else if (key == "limits.retryAfter") {
-    s.retry_after = flag();
+    s.sends_retry_after = flag();
   } else if (key == "limits.maxRetryAfterMs") {
     s.max_retry_after = number();
   } else if (key == "rules.askWithinMs") {
-    s.ask_within = number();
+    s.max_watch_interval = number();
   } else if (key == "rules.coldFrom") {
-    s.cold_from = number();
+    s.cold_capacity_fraction = number();
   } else if (key == "rules.coldMs") {
-    s.cold_for = number();
+    s.warm_up_time = number();
   } else if (key == "rules.fallMultiple") {
-    s.fall_multiple = number();
+    s.overload_multiple = number();
   } else if (key == "scoreParts.whole") {
-    s.whole_part = number();
+    s.total_worth_weight = number();
   } else if (key == "scoreParts.worstClass") {
-    s.worst_class_part = number();
+    s.worst_class_weight = number();
   } else if (key == "familyInfo.warmKeys") {
-    s.warm_keys = flag();
+    s.has_key_affinity = flag();
   } else if (key == "report.fields") {
     Parts fields;
     Split(value, ',', fields);
     for (const auto field : fields) {
-      if (!field.empty() && field != "-") s.report_fields.emplace_back(field);
+      if (!field.empty() && field != "-") s.load_report_fields.emplace_back(field);
     }
   }
 }
@@ -300,13 +302,13 @@
     Deliver(ClientGone{std::string(Need(parts, 1, "ticket"))});
   } else if (word == "REGISTRY") {
     const std::string_view kind = Need(parts, 3, "kind");
-    ServerNews news;
+    MembershipUpdate news;
     if (kind == "X") {
-      news.kind = ServerNews::Kind::kFailed;
+      news.kind = MembershipUpdate::Kind::kFailed;
     } else if (kind == "D" || kind == "F" || kind == "C") {
       const auto list = Number<std::size_t>(Need(parts, 1, "list"), "list");
       if (list >= lists_.size()) throw WireError("list number above 15");
-      news.kind = kind == "D" ? ServerNews::Kind::kDelta : ServerNews::Kind::kFull;
+      news.kind = kind == "D" ? MembershipUpdate::Kind::kDelta : MembershipUpdate::Kind::kFull;
       news.servers = lists_[list];
     } else {
       throw WireError("unknown list kind '" + std::string(kind) + "'");
@@ -332,7 +334,7 @@
   actions_.clear();
   std::optional<std::string> fault;
   try {
-    policies_.at(*at_).handle(now_, event, actions_);
+    policies_.at(*at_).Handle(now_, event, actions_);
   } catch (const std::exception& error) {
     actions_.clear();
     fault = error.what();
--- a/src/xds/decider.cpp
+++ b/src/xds/decider.cpp
@@ -29,9 +29,9 @@
   sample.effect = Effect::kSafe;
   settings.classes = {sample};
   settings.max_attempts = 1;
-  settings.cold_from = pool.cold_from;
-  settings.cold_for = pool.cold_for;
-  settings.fall_multiple = pool.fall_multiple;
+  settings.cold_capacity_fraction = pool.cold_capacity_fraction;
+  settings.warm_up_time = pool.warm_up_time;
+  settings.overload_multiple = pool.overload_multiple;
   return settings;
 }
 
@@ -70,11 +70,11 @@
     }
     for (const std::string& id : left) Drop(id);
   }
-  ServerNews news;
-  news.kind = list.complete ? ServerNews::Kind::kFull : ServerNews::Kind::kDelta;
+  MembershipUpdate news;
+  news.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
   for (const gateway::Host& host : list.hosts) news.servers.push_back(host.server);
   std::vector<Action> actions;
-  policy_.handle(now, news, actions);
+  policy_.Handle(now, news, actions);
   Carry(actions, now);
   moved_ = true;
 }
@@ -157,7 +157,7 @@
 void Decider::End(const std::string& sample, const std::string& host, Result result, Millis latency,
                   Millis now) {
   std::vector<Action> actions;
-  policy_.handle(now, Outcome{sample, 0, host, result, true, latency, {}}, actions);
+  policy_.Handle(now, Outcome{sample, 0, host, result, true, latency, {}}, actions);
   moved_ = moved_ || result != Result::kNotSent;
   Carry(actions, now);
 }
@@ -174,14 +174,14 @@
 
 void Decider::Ask(Millis now) {
   std::vector<Action> actions;
-  policy_.handle(now, Request{"s" + std::to_string(++samples_), "sample", "", "", kSampleTime, false},
+  policy_.Handle(now, Request{"s" + std::to_string(++samples_), "sample", "", "", kSampleTime, false},
                  actions);
   Carry(actions, now);
 }
 
 void Decider::Tick(Millis now) {
   std::vector<Action> actions;
-  policy_.handle(now, TimerDue{"sweep"}, actions);
+  policy_.Handle(now, TimerDue{"sweep"}, actions);
   Carry(actions, now);
   while (!endings_.empty() && endings_.top().at <= now) {
     const Ending ending = endings_.top();
@@ -191,8 +191,8 @@
   // Without news, reports or answers nobody becomes a suspect, and nothing is owed.
   if (!std::exchange(moved_, false) && suspects_.empty()) return;
   suspects_.clear();
-  for (const Verdict& verdict : policy_.Verdicts()) {
-    if (verdict.suspect) suspects_.insert(verdict.server);
+  for (const ServerStatus& verdict : policy_.ServerStatuses()) {
+    if (verdict.ejected) suspects_.insert(verdict.server);
   }
   double owed = 0;
   for (auto& [id, known] : hosts_) {
@@ -219,13 +219,13 @@
 }
 
 std::vector<Assigned> Decider::Endpoints() const {
-  std::map<std::string, Verdict> verdicts;
+  std::map<std::string, ServerStatus> verdicts;
   double all = 0;
   std::size_t up = 0, out = 0;
-  for (const Verdict& verdict : policy_.Verdicts()) {
+  for (const ServerStatus& verdict : policy_.ServerStatuses()) {
     ++up;
-    out += verdict.suspect;
-    if (!verdict.suspect) all += verdict.weight;
+    out += verdict.ejected;
+    if (!verdict.ejected) all += verdict.weight;
     verdicts[verdict.server] = verdict;
   }
   const double mean = up > out && all > 0 ? all / static_cast<double>(up - out) : 1;
@@ -244,7 +244,7 @@
     if (known.host.server.state == ServerState::kDraining || found == verdicts.end()) {
       to.standing = Standing::kDraining;
       to.weight = 1;
-    } else if (found->second.suspect) {
+    } else if (found->second.ejected) {
       to.standing = too_many || known.tried_since >= 0 ? Standing::kUp : Standing::kOut;
       to.weight = static_cast<std::uint32_t>(std::lround(trial));
     } else {
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -61,9 +61,9 @@
   SetDuration(cluster.mutable_connect_timeout(), pool.dial_timeout);
   cluster.set_lb_policy(options.grpc_clients ? envoy::config::cluster::v3::Cluster::ROUND_ROBIN
                                              : envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
-  if (pool.settings.most_out > 0) {
+  if (pool.settings.max_in_flight > 0) {
     auto* const bounds = cluster.mutable_circuit_breakers()->add_thresholds();
-    bounds->mutable_max_requests()->set_value(static_cast<std::uint32_t>(pool.settings.most_out));
+    bounds->mutable_max_requests()->set_value(static_cast<std::uint32_t>(pool.settings.max_in_flight));
   }
   if (options.load_reports) cluster.mutable_lrs_server()->mutable_self();
   return cluster;
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -108,7 +108,7 @@
   Gateway g;
   g.Servers(2);
   EXPECT_NE(Gateway::SentTo(g.Ask("a", "view", 15)), "");
-  EXPECT_EQ(CauseOf(g.Ask("b", "view", 0)), Cause::kTooLate);
+  EXPECT_EQ(CauseOf(g.Ask("b", "view", 0)), Cause::kInsufficientTime);
 }
 
 // Guards servers against clients that leave before any server could have answered.
@@ -130,13 +130,13 @@
   Gateway none(s);
   EXPECT_EQ(CauseOf(none.Ask("a", "nonsense")), Cause::kUnknownClass);
   none.Ask("b");
-  EXPECT_EQ(CauseOf(none.Pass(400)), Cause::kNoServer);
-  s.most_out = 1;
+  EXPECT_EQ(CauseOf(none.Pass(400)), Cause::kNoHealthyServer);
+  s.max_in_flight = 1;
   Gateway full(s);
   full.Servers(2);
   full.Ask("out");
   full.Ask("held");
-  EXPECT_EQ(CauseOf(full.Pass(400)), Cause::kRoom);
+  EXPECT_EQ(CauseOf(full.Pass(400)), Cause::kNoConnection);
   Gateway g;
   g.Servers(2);
   g.Serve(10);
@@ -148,8 +148,8 @@
 TEST(Faults, WeightsOutliveHoursWithoutRequests) {
   Settings s = MakeSettings();
   s.classes = {MakeClass("cheap", Effect::kSafe, 1), MakeClass("dear", Effect::kSafe, 9)};
-  s.worst_class_part = 0.1;
-  s.most_out = 1;
+  s.worst_class_weight = 0.1;
+  s.max_in_flight = 1;
   Gateway g(s);
   g.Servers(1);
   g.Serve(40, 20, "cheap");
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -128,9 +128,9 @@
   for (int asked = 0; trusted > free.size() && asked < 400000;) {
     std::set<std::string> bad;
     trusted = 0;
-    for (const Verdict& verdict : g.policy.Verdicts()) trusted += !verdict.suspect;
-    for (const Verdict& verdict : g.policy.Verdicts()) {
-      if (verdict.suspect || free.contains(verdict.server)) continue;
+    for (const ServerStatus& verdict : g.policy.ServerStatuses()) trusted += !verdict.ejected;
+    for (const ServerStatus& verdict : g.policy.ServerStatuses()) {
+      if (verdict.ejected || free.contains(verdict.server)) continue;
       if (bad.size() < std::max<std::size_t>(1, trusted / 50)) bad.insert(verdict.server);
     }
     for (std::size_t i = 0; i < 3 * trusted; ++i, ++asked) {  // unsafe ones: no trials on the way
@@ -208,7 +208,7 @@
       Server change = MakeServer(server);
       change.state = ServerState::kDraining;
       if (drained.size() < 100) {
-        g.Do(ServerNews{ServerNews::Kind::kDelta, {change}});
+        g.Do(MembershipUpdate{MembershipUpdate::Kind::kDelta, {change}});
         drained.insert(server);
       }
       g.End(id, server, Result::kServed, 5);
--- a/tests/gateway.hpp
+++ b/tests/gateway.hpp
@@ -18,7 +18,7 @@
   c.deadline = 2000;
   c.worth = worth;
   c.effect = effect;
-  c.group = Group::kCell;
+  c.group = DeduplicationScope::kCell;
   c.repeat_window = 5000;
   return c;
 }
@@ -27,9 +27,9 @@
   Settings s;
   s.classes = {MakeClass("view"), MakeClass("key", Effect::kKeyed), MakeClass("pay", Effect::kUnsafe)};
   s.max_attempts = 3;
-  s.may_cancel = true;
-  s.cold_from = 0.2;
-  s.cold_for = 10000;
+  s.can_cancel = true;
+  s.cold_capacity_fraction = 0.2;
+  s.warm_up_time = 10000;
   return s;
 }
 
@@ -49,14 +49,16 @@
 
   std::vector<Action> Do(const Event& event) {
     std::vector<Action> actions;
-    policy.handle(now, event, actions);
+    policy.Handle(now, event, actions);
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) sent.push_back(*send);
     }
     return actions;
   }
 
-  void List(std::vector<Server> servers) { Do(ServerNews{ServerNews::Kind::kFull, std::move(servers)}); }
+  void List(std::vector<Server> servers) {
+    Do(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(servers)});
+  }
 
   // Brings `n` servers named s0, s1 ... that have been up for long.
   void Servers(int n) {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -46,9 +46,9 @@
     s.gateways = kGateways;
     s.index = i;
     s.tenants = {{"shop", 1500}};
-    if (reports) s.report_fields = {"util"};
+    if (reports) s.load_report_fields = {"util"};
     gates_[i] = std::make_unique<Gate>(Gate{std::make_unique<Policy>(s, ++seeds_), {}, ++lives_});
-    Tell(i, ServerNews{ServerNews::Kind::kFull, hosts_});
+    Tell(i, MembershipUpdate{MembershipUpdate::Kind::kFull, hosts_});
   }
   // Another process takes over the place of the host; the old one is gone.
   void Replace(int i) {
@@ -57,7 +57,7 @@
     hosts_[i] = MakeServer("h" + std::to_string(kHosts + replaced_++), old.cell, now);
     for (int g = 0; g < kGateways; ++g) {
       Later(Uniform() * 400, g, [this, g, old, fresh = hosts_[i]] {
-        Tell(g, ServerNews{ServerNews::Kind::kDelta, {old, fresh}});
+        Tell(g, MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, fresh}});
       });
     }
   }
@@ -103,7 +103,7 @@
       if (gates_[g]->life == life) what();
     });
   }
-  void Tell(int g, const ServerNews& news) { Do(g, news); }
+  void Tell(int g, const MembershipUpdate& news) { Do(g, news); }
   void Ask() {
     const int g = static_cast<int>(random_() % kGateways);
     Request r;
@@ -116,7 +116,7 @@
   }
   void Do(int g, const Event& event) {
     std::vector<Action> actions;
-    gates_[g]->policy->handle(now, event, actions);
+    gates_[g]->policy->Handle(now, event, actions);
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) Sent(g, *send);
       if (const auto* refuse = std::get_if<Refuse>(&a)) Answer(g, refuse->request);
@@ -280,7 +280,7 @@
     Settings s = MakeSettings();
     s.gateways = kGateways;
     s.index = i;
-    s.ask_for_list = true;
+    s.requires_watch = true;
     Gateway g(s, static_cast<std::uint64_t>(i) + 1);
     const Millis start = g.now;
     g.Servers(kHosts);
@@ -293,7 +293,7 @@
       }
       if (g.now < fails_at) continue;
       fails_at = 1e300;
-      g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
+      g.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     }
   }
   return asks;
@@ -339,7 +339,7 @@
   s.gateways = kGateways;
   s.index = 0;
   s.tenants = {{"shop", 4000}};
-  s.report_fields = {"util"};
+  s.load_report_fields = {"util"};
   Gateway g(s);
   g.Servers(kHosts);
   struct Out {
@@ -415,7 +415,7 @@
     Server old = hosts[n % kHosts];
     old.state = ServerState::kGone;
     hosts[n % kHosts] = MakeServer("h" + std::to_string(kHosts + n), "0", g.now);
-    g.Do(ServerNews{ServerNews::Kind::kDelta, {old, hosts[n % kHosts]}});
+    g.Do(MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, hosts[n % kHosts]}});
     const std::string id = "r" + std::to_string(n), to = Gateway::SentTo(g.Ask(id));
     g.now += 500;
     g.Do(TimerDue{"sweep"});
@@ -423,7 +423,7 @@
     g.sent.clear();
     if (n == 600) at_start = mallinfo2().uordblks;
   }
-  EXPECT_EQ(g.policy.Verdicts().size(), static_cast<std::size_t>(kHosts));
+  EXPECT_EQ(g.policy.ServerStatuses().size(), static_cast<std::size_t>(kHosts));
   EXPECT_LE(mallinfo2().uordblks, at_start + 64 * 1024);  // both 0 under a sanitizer's allocator
 }
 
--- a/tests/losses_test.cpp
+++ b/tests/losses_test.cpp
@@ -14,12 +14,12 @@
   ledger::Losses losses({MakeClass("view", Effect::kSafe, 5), MakeClass("pay", Effect::kUnsafe, 8)});
   EXPECT_TRUE(losses.Lines(1000).empty()) << "nothing has ended";
   losses.Ended("view", Fate::kInTime, "", 10);
-  losses.Ended("view", Fate::kRefused, ToWord(Cause::kRate), 40);
-  losses.Ended("view", Fate::kRefused, ToWord(Cause::kRate), 20);
+  losses.Ended("view", Fate::kRefused, CauseName(Cause::kRateLimited), 40);
+  losses.Ended("view", Fate::kRefused, CauseName(Cause::kRateLimited), 20);
   losses.Ended("view", Fate::kLate, "", 700);
   losses.Ended("view", Fate::kGone, "", 700);
   losses.Wasted("view", Result::kReset, 30);
-  losses.Ended("pay", Fate::kFailed, ToWord(Cause::kMayHaveRun), 5);
+  losses.Ended("pay", Fate::kFailed, CauseName(Cause::kMayHaveRun), 5);
   EXPECT_TRUE(losses.Lines(1900).empty()) << "a line a second at the most";
   EXPECT_EQ(losses.Lines(2000),
             (std::vector<std::string>{
@@ -49,8 +49,8 @@
 }
 
 TEST(Losses, HasAWordForEveryCause) {
-  for (int cause = 0; cause <= static_cast<int>(Cause::kResends); ++cause) {
-    EXPECT_STRNE(ToWord(static_cast<Cause>(cause)), "unknown") << cause;
+  for (int cause = 0; cause <= static_cast<int>(Cause::kRetryBudgetExhausted); ++cause) {
+    EXPECT_STRNE(CauseName(static_cast<Cause>(cause)), "unknown") << cause;
   }
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -28,7 +28,8 @@
   EXPECT_NE(fault([](Settings& s) { s.classes[0].aim = -1; }).find("aim"), std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.tenants = {{"t", -1}}; }).find("quota"), std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.gateways = 0; }).find("gateways"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.worst_class_part = -1; }).find("worst_class_part"), std::string::npos);
+  EXPECT_NE(fault([](Settings& s) { s.worst_class_weight = -1; }).find("worst_class_weight"),
+            std::string::npos);
   EXPECT_EQ(fault([](Settings&) {}), "");
 }
 
@@ -238,7 +239,7 @@
   EXPECT_EQ(Gateway::SentTo(g.Ask("a")), "");
   g.List({MakeServer("s1", "0", 50)});
   EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(300)) + static_cast<int>(g.sent.size()), 1);
-  g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
+  g.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
   EXPECT_NE(Gateway::SentTo(g.Ask("b")), "s0");
 }
 
@@ -408,7 +409,7 @@
 
 TEST(Retry, KeyedRequestOfAZoneGroupStaysInItsZone) {
   Settings s = MakeSettings();
-  s.classes[1].group = Group::kZone;
+  s.classes[1].group = DeduplicationScope::kZone;
   const auto server = [](std::string id, std::string zone, std::string cell) {
     Server made = MakeServer(std::move(id), std::move(cell));
     made.zone = std::move(zone);
@@ -460,7 +461,7 @@
   g.Servers(3);
   Server draining = MakeServer("s0");
   draining.state = ServerState::kDraining;
-  g.Do(ServerNews{ServerNews::Kind::kDelta, {draining}});
+  g.Do(MembershipUpdate{MembershipUpdate::Kind::kDelta, {draining}});
   for (int i = 0; i < 6; ++i) EXPECT_NE(Gateway::SentTo(g.Ask("a" + std::to_string(i))), "s0");
   g.List({MakeServer("s2")});
   for (int i = 0; i < 4; ++i) {
@@ -526,7 +527,7 @@
 TEST(Ready, SpareTrafficLeavesBusyServersAlone) {
   Settings s = MakeSettings();
   s.tenants = {{"small", 1000}, {"big", 0.001}};
-  s.report_fields = {"util"};
+  s.load_report_fields = {"util"};
   const auto taken = [&](const char* tenant, double utilisation) {
     Gateway g(s);
     g.Servers(1);
@@ -554,7 +555,7 @@
 int TakenAfterReports(double utilisation, double first = 0.5) {
   constexpr int kReports = 60;
   Settings s = MakeSettings();
-  s.report_fields = {"inflight", "util"};
+  s.load_report_fields = {"inflight", "util"};
   Gateway g(s);
   g.Servers(1);
   int given = 0;
@@ -585,7 +586,7 @@
   const auto sends = [](double utilisation) {
     Settings s = MakeSettings();
     s.gateways = 8;
-    s.report_fields = {"util"};
+    s.load_report_fields = {"util"};
     Gateway g(s);
     g.Servers(1);
     std::size_t answered = 0;
@@ -607,7 +608,7 @@
   EXPECT_EQ(TakenAfterReports(1.0, nan), 1);  // later reports still count
   EXPECT_EQ(TakenAfterReports(1.0, -1e9), 1);
   Settings s = MakeSettings();
-  s.report_fields = {"inflight", "util"};
+  s.load_report_fields = {"inflight", "util"};
   Gateway g(s);
   g.Servers(1);
   g.Ask("short");
@@ -616,10 +617,10 @@
 }
 
 TEST(Ready, FirstLimitIsHigherWhereKeysWarmServersAndLowWhereReportsSoonShowRoom) {
-  const auto taken = [](bool warm_keys, bool reports) {
+  const auto taken = [](bool has_key_affinity, bool reports) {
     Settings s = MakeSettings();
-    s.warm_keys = warm_keys;
-    if (reports) s.report_fields = {"util"};
+    s.has_key_affinity = has_key_affinity;
+    if (reports) s.load_report_fields = {"util"};
     Gateway g(s);
     g.Servers(1);
     int out = 0;
@@ -701,12 +702,12 @@
 
 TEST(List, FailedWatchIsAskedForAgainWithoutAStampede) {
   Settings s = MakeSettings();
-  s.ask_for_list = true;
+  s.requires_watch = true;
   Gateway g(s);
-  int watches = Gateway::Count<Watch>(g.Do(ServerNews{ServerNews::Kind::kFull, {}}));
+  int watches = Gateway::Count<Watch>(g.Do(MembershipUpdate{MembershipUpdate::Kind::kFull, {}}));
   EXPECT_EQ(watches, 1);
   for (int i = 0; i < 6; ++i) {
-    g.Do(ServerNews{ServerNews::Kind::kFailed, {}});
+    g.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     const int asked = Gateway::Count<Watch>(g.Pass(5000));
     EXPECT_EQ(asked, 1);
   }
@@ -714,7 +715,7 @@
 
 TEST(WarmKeys, SameKeyKeepsToTheSameServersAtEveryGateway) {
   Settings s = MakeSettings();
-  s.warm_keys = true;
+  s.has_key_affinity = true;
   std::map<std::string, std::set<std::string>> homes;
   for (int seed = 0; seed < 8; ++seed) {
     Gateway g(s, seed);
@@ -794,7 +795,7 @@
   s.index = 7;
   Gateway one(s);
   one.List(Fleet(30));
-  s.streams = 100;
+  s.streams_per_connection = 100;
   Gateway held(s);
   held.List(Fleet(30));
   EXPECT_EQ(one.Serve(100, 200).size(), 2 * held.Serve(100, 200).size());
@@ -843,7 +844,7 @@
 TEST(Queues, AFirstTryIsNotLateForAnothersLongDeadline) {
   for (const bool marks : {true, false}) {
     Settings s = MakeSettings();
-    s.marks_retry = marks;
+    s.clients_mark_retries = marks;
     Gateway g(s);
     g.Servers(1);
     const auto serve = [&](const std::string& id, Millis left) {
@@ -869,7 +870,7 @@
 TEST(Tenants, FurtherTriesTakeNothingOfAShare) {
   Settings s = MakeSettings();
   s.tenants = {{"t", 10}};
-  s.most_out = 1;
+  s.max_in_flight = 1;
   Gateway g(s);
   g.Servers(1);
   g.Pass(2000);
@@ -917,7 +918,7 @@
 // Guards the gateway's descriptors: what can't be sent is held, and costs neither a token nor an attempt.
 TEST(Queues, SendsNoMoreThanTheGatewayHasRoomFor) {
   Settings s = MakeSettings();
-  s.most_out = 2;
+  s.max_in_flight = 2;
   Gateway g(s);
   g.Servers(4);
   for (int i = 0; i < 5; ++i) g.Ask("r" + std::to_string(i));
@@ -930,7 +931,7 @@
 // Guards a refused client against being told to come back at once.
 TEST(Queues, ARefusalWithoutAQueueStillTellsWhenToComeBack) {
   Settings s = MakeSettings();
-  s.retry_after = true;
+  s.sends_retry_after = true;
   s.max_retry_after = 2000;
   Gateway g(s);
   g.Servers(2);
@@ -976,7 +977,7 @@
   s.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 8)};
   const auto by_worth = AnsweredShares(s);
   EXPECT_LT(by_worth.at("view"), by_worth.at("pay") / 2);
-  s.worst_class_part = 1;
+  s.worst_class_weight = 1;
   const auto lifted = AnsweredShares(s);
   EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three of the steps by which it is weighed
   EXPECT_GT(lifted.at("view"), by_worth.at("view"));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -74,7 +74,7 @@
   std::mt19937_64 random(seed);
   const auto chance = [&](double p) { return std::uniform_real_distribution<>(0, 1)(random) < p; };
   Settings settings = MakeSettings();
-  settings.ask_for_list = ask_mode;
+  settings.requires_watch = ask_mode;
   settings.gateways = 1 + static_cast<int>(random() % 4);
   Gateway g(settings, seed);
   Checker check{settings, {}, {}, {}};
@@ -88,7 +88,7 @@
   const auto tell = [&](const Server& s) {
     fleet[s.id] = check.servers[s.id] = s;
     check.up[s.id] = s.state == ServerState::kUp;
-    feed(ServerNews{ServerNews::Kind::kDelta, {s}});
+    feed(MembershipUpdate{MembershipUpdate::Kind::kDelta, {s}});
   };
   for (const auto& [id, s] : std::map(fleet)) tell(s);
 
@@ -114,7 +114,7 @@
       if (pick == 2) s.started_at = g.now;
       tell(s);
     }
-    if (chance(0.002)) feed(ServerNews{ServerNews::Kind::kFailed, {}});
+    if (chance(0.002)) feed(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     std::vector<Event> events;
     for (auto& [id, ask] : check.asks) {
       for (std::size_t i = 0; i < ask.tries.size(); ++i) {
--- a/tests/standins/fleet_day.hpp
+++ b/tests/standins/fleet_day.hpp
@@ -112,13 +112,13 @@
     s.gateways = static_cast<int>(zones.size());
     s.index = static_cast<int>(i);
     s.max_attempts = 3;
-    s.may_cancel = true;
-    s.retry_after = true;
+    s.can_cancel = true;
+    s.sends_retry_after = true;
     s.max_retry_after = 2000;
-    s.whole_part = 0.6;
-    s.worst_class_part = 0.4;
+    s.total_worth_weight = 0.6;
+    s.worst_class_weight = 0.4;
     gate.policy = std::make_unique<Policy>(s, 17 + i);
-    ServerNews news;
+    MembershipUpdate news;
     for (const Host& host : hosts) news.servers.push_back(ToServer(host, ServerState::kUp));
     Tell(i, news);
   }
@@ -129,7 +129,7 @@
     ++host.turn;
     host.silent = false;
     for (std::size_t i = 0; i < gates_.size(); ++i) {
-      ServerNews news{ServerNews::Kind::kDelta, {ToServer(host, ServerState::kUp)}};
+      MembershipUpdate news{MembershipUpdate::Kind::kDelta, {ToServer(host, ServerState::kUp)}};
       news.servers[0].started_at = now_;
       At(now_ + list_late, [this, i, news] { Tell(i, news); });
     }
@@ -240,7 +240,7 @@
 
   void Tell(std::size_t i, const Event& event) {
     std::vector<Action> actions;
-    gates_[i].policy->handle(now_, event, actions);
+    gates_[i].policy->Handle(now_, event, actions);
     for (const Action& action : actions) std::visit([&](const auto& a) { Do(i, a); }, action);
   }
   void Later(std::size_t i, Millis delay, Event event) {
@@ -254,7 +254,7 @@
     const auto found = gates_[i].open.find(refuse.request);
     if (found == gates_[i].open.end()) return;
     Flow flow = std::move(found->second);
-    ++causes[Of(flow.cls).set.name][ToWord(refuse.cause)];
+    ++causes[Of(flow.cls).set.name][CauseName(refuse.cause)];
     gates_[i].open.erase(found);
     if (!flow.first) return;
     flow.first = false;  // a client asks once more, if there is time
@@ -266,7 +266,7 @@
   void Do(std::size_t i, const Fail& fail) {
     const auto found = gates_[i].open.find(fail.request);
     if (found == gates_[i].open.end()) return;
-    ++causes[Of(found->second.cls).set.name][ToWord(fail.cause)];
+    ++causes[Of(found->second.cls).set.name][CauseName(fail.cause)];
     gates_[i].open.erase(found);
   }
   void Do(std::size_t i, const Cancel& cancel);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -119,11 +119,11 @@
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "a");
   EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].group, Group::kCell);
+  EXPECT_EQ(s.classes[0].group, DeduplicationScope::kCell);
   EXPECT_EQ(s.tenants.at(0).quota_per_s, 12.5);
   EXPECT_EQ(s.max_retry_after, 600);
-  EXPECT_TRUE(s.retry_after && s.warm_keys);
-  EXPECT_EQ(s.report_fields, (std::vector<std::string>{"inflight", "util"}));
+  EXPECT_TRUE(s.sends_retry_after && s.has_key_affinity);
+  EXPECT_EQ(s.load_report_fields, (std::vector<std::string>{"inflight", "util"}));
 }
 
 TEST(Wire, KillWithAttemptsOutLeavesNothingBehind) {
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -16,9 +16,9 @@
 
 Settings Warming() {
   Settings settings;
-  settings.cold_from = 0.1;
-  settings.cold_for = 10000;
-  settings.fall_multiple = 3;
+  settings.cold_capacity_fraction = 0.1;
+  settings.warm_up_time = 10000;
+  settings.overload_multiple = 3;
   return settings;
 }
 
