--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -303,7 +303,7 @@
       pool.clients = ReadPortion(l, "clients", false);
       pool.body_memory = ReadPortion(l, "body_memory", true);
     }
-    if (in_flight > 0 && queue >= 0) pool.gate.held = static_cast<std::size_t>(in_flight + queue);
+    if (in_flight > 0 && queue >= 0) pool.gate.max_active = static_cast<std::size_t>(in_flight + queue);
     pool.dial_timeout = 250;
     pool.idle_timeout = 15000;
     if (const auto* const table = f.Table("timeouts")) {
@@ -394,7 +394,7 @@
         << s.max_in_flight << ' ' << s.cold_capacity_fraction << ' ' << s.warm_up_time << ' '
         << s.overload_multiple << ' ' << s.clients_mark_retries << '\n';
     for (const std::string& field : s.load_report_fields) out << "report " << field << '\n';
-    out << "gate " << pool.gate.requests_per_s << ' ' << pool.gate.burst << ' ' << pool.gate.held << ' '
+    out << "gate " << pool.gate.requests_per_s << ' ' << pool.gate.burst << ' ' << pool.gate.max_active << ' '
         << pool.reread_per_s << '\n';
     for (const Portion* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
       out << "portion " << p->guaranteed << ' ' << p->most << '\n';
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "config/control.hpp"
-#include "limits/pool_gate.hpp"
+#include "limits/request_limiter.hpp"
 #include "membership/host_list.hpp"
 #include "opalswitch/policy.hpp"
 #include "routing/route_table.hpp"
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -34,27 +34,28 @@
                             false,
                             [this] { discovery_.Watch(); }})),
       discovery_(io, config.discovery, config.known.revision,
-                 {[this](const HostList& list) { pool_->Told(list); }, [this] { ListFailed(); },
+                 {[this](const HostList& list) { pool_->UpdateMembership(list); }, [this] { ListFailed(); },
                   [](const std::string& line) { std::fprintf(stderr, "forkwick: %s\n", line.c_str()); }},
                  config.seed),
-      clients_(io, LimitsFor(config.sockets, config.memory_mb),
-               {[this] { return pool_->listed() && !stop_.begun(); },
-                [this, classes = PlatformClasses(config.settings)](
-                    const HttpRequest& head, const routing::Target& target, const Origin&, Call& call) {
-                  call.pool = pool_;
-                  return CheckPlatformCall(classes, head, target, call);
-                }},
-               "/up"),
-      stop_(io, clients_, [this] { pool_->FailRest(); }) {
+      clients_(
+          io, LimitsFor(config.sockets, config.memory_mb),
+          {[this] { return pool_->has_hosts() && !stop_.begun(); },
+           [this, classes = PlatformClasses(config.settings)](
+               const HttpRequest& head, const routing::Target& target, const Origin&, ClientRequest& call) {
+             call.pool = pool_;
+             return CheckPlatformCall(classes, head, target, call);
+           }},
+          "/up"),
+      stop_(io, clients_, [this] { pool_->FailPending(); }) {
   clients_.Listen("", config.listen);
-  pool_->Told(config.known);
+  pool_->UpdateMembership(config.known);
   if (!settings_.requires_watch) discovery_.Watch();
 }
 
 void Gateway::Reload(const Config& config) { discovery_.Move(config.discovery); }
 
 void Gateway::ListFailed() {
-  pool_->ListFailed();
+  pool_->MembershipUpdateFailed();
   if (settings_.requires_watch) return;  // the policy says when to ask again
   discovery_.WatchLater();
 }
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -54,7 +54,7 @@
 }
 
 // What a host is told of who asks, and by which way (RFC 9110 7.6.3).
-void Introduce(Call& call) {
+void Introduce(ClientRequest& call) {
   const auto append = [&](const char* name, const std::string& value) {
     const std::string before(call.http[name]);
     call.http.set(name, before.empty() ? value : before + ", " + value);
@@ -91,24 +91,24 @@
   for (const ClassSettings& cls : options_.settings.classes) aims_[cls.name] = cls.aim;
 }
 
-void Pool::Take(Call&& request) {
+void Pool::Submit(ClientRequest&& request) {
   if (flows_.contains(request.id)) {  // two answers for one id could not be told apart
     HttpResponse response(http::status::conflict, 11);
     response.body() = "Req-Id is in use\n";
     response.keep_alive(false);
-    return request.answer(std::move(response));
+    return request.respond(std::move(response));
   }
   Flow& flow = flows_.try_emplace(request.id, io_).first->second;
   if (options_.plain) Introduce(request);
   flow.http = std::make_shared<const HttpRequest>(std::move(request.http));
-  flow.answer = std::move(request.answer);
-  flow.hold = std::move(request.hold);
+  flow.answer = std::move(request.respond);
+  flow.hold = std::move(request.admission);
   flow.class_name = request.class_name;
   flow.received = request.received;
   const auto aim = aims_.find(request.class_name);
   flow.aim_at = request.received + (aim == aims_.end() ? 0 : aim->second);
-  const Millis gives_up = request.received + request.allowed;
-  const Millis margin = std::min(kMargin, kMarginPart * request.allowed);
+  const Millis gives_up = request.received + request.client_timeout;
+  const Millis margin = std::min(kMargin, kMarginPart * request.client_timeout);
   flow.leaves_at = gives_up - margin;
   flow.overdue.expires_after(Span(gives_up - kLastPart * margin - Now()));
   flow.overdue.async_wait([weak = weak_from_this(), id = request.id](error_code ec) {
@@ -116,10 +116,10 @@
     if (!ec && self) self->Overdue(id);
   });
   Report(Request{request.id, request.class_name, request.tenant, request.key, flow.leaves_at - Now(),
-                 request.retry, request.cost});
+                 request.is_retry, request.cost});
 }
 
-void Pool::Told(const HostList& list) {
+void Pool::UpdateMembership(const HostList& list) {
   hosts_.Update(list);  // first: nothing may be sent by the old list any more
   listed_ = listed_ || !list.hosts.empty();
   Report(ToNews(list));
@@ -143,10 +143,11 @@
     StripHopByHop(*flow->error);
     flow->error->erase("Srv-Load");
   }
-  if (result != Result::kServed) losses_.Wasted(flow->class_name, result, Now() - ended.sent);
+  if (result != Result::kServed) losses_.RecordWastedAttempt(flow->class_name, result, Now() - ended.sent);
   if (result == Result::kServed) {
     if (!flow->answered)
-      Ended(*flow, Now() <= flow->aim_at ? ledger::Fate::kInTime : ledger::Fate::kLate, "");
+      Ended(*flow, Now() <= flow->aim_at ? ledger::RequestOutcome::kInTime : ledger::RequestOutcome::kLate,
+            "");
     StripHopByHop(response);
     response.erase("Srv-Load");
     Answer(*flow, std::move(response));
@@ -158,7 +159,7 @@
 void Pool::Overdue(const std::string& id) {
   Flow* const flow = Find(id);
   if (flow == nullptr || flow->answered) return;
-  Decline(*flow, ledger::Fate::kFailed, HttpResponse(http::status::gateway_timeout, 11), "overdue");
+  Decline(*flow, ledger::RequestOutcome::kFailed, HttpResponse(http::status::gateway_timeout, 11), "overdue");
   Report(ClientGone{id});
 }
 
@@ -211,7 +212,7 @@
   HttpResponse response(http::status::service_unavailable, 11);
   response.set(http::field::retry_after,
                options_.plain ? WholeSeconds(refuse.retry_after) : Seconds(refuse.retry_after));
-  Decline(*flow, ledger::Fate::kRefused, std::move(response), CauseName(refuse.cause));
+  Decline(*flow, ledger::RequestOutcome::kRefused, std::move(response), CauseName(refuse.cause));
   Settle(refuse.request);
 }
 
@@ -221,10 +222,11 @@
   // A host's own error is passed on. Not with a status that says "try again": it may have run.
   const unsigned status = flow->error ? flow->error->result_int() : 0;
   if (status != 0 && status != 503) {
-    if (!flow->answered) Ended(*flow, ledger::Fate::kFailed, CauseName(fail.cause));
+    if (!flow->answered) Ended(*flow, ledger::RequestOutcome::kFailed, CauseName(fail.cause));
     Answer(*flow, std::move(*flow->error));
   } else {
-    Decline(*flow, ledger::Fate::kFailed, HttpResponse(http::status::bad_gateway, 11), CauseName(fail.cause));
+    Decline(*flow, ledger::RequestOutcome::kFailed, HttpResponse(http::status::bad_gateway, 11),
+            CauseName(fail.cause));
   }
   Settle(fail.request);
 }
@@ -246,7 +248,7 @@
 }
 
 void Pool::Do(const Watch&) {
-  if (options_.watch) options_.watch();
+  if (options_.request_watch) options_.request_watch();
 }
 
 void Pool::Do(const Log& log) {
@@ -255,27 +257,27 @@
 }
 
 // Its own answers say why, whatever the settings: a client that can't read it loses nothing.
-void Pool::Decline(Flow& flow, ledger::Fate fate, HttpResponse response, std::string_view cause) {
+void Pool::Decline(Flow& flow, ledger::RequestOutcome fate, HttpResponse response, std::string_view cause) {
   if (flow.answered) return;
   Ended(flow, fate, cause);
   response.set(kCauseField, boost::beast::string_view(cause.data(), cause.size()));
   Answer(flow, std::move(response));
 }
 
-void Pool::Ended(const Flow& flow, ledger::Fate fate, std::string_view cause) {
-  losses_.Ended(flow.class_name, fate, cause, Now() - flow.received);
+void Pool::Ended(const Flow& flow, ledger::RequestOutcome fate, std::string_view cause) {
+  losses_.RecordRequest(flow.class_name, fate, cause, Now() - flow.received);
 }
 
 // What was lost in the last second, and which hosts then had what share of the usual: few lines, whatever the
 // load.
 void Pool::TellLosses() {
-  const auto lines = losses_.Lines(Now());
+  const auto lines = losses_.TakeLogLines(Now());
   if (lines.empty()) return;
   for (const std::string& line : lines) Do(Log{line});
-  if (hosts_.known() > kMostHostsTold) return;
+  if (hosts_.host_count() > kMostHostsTold) return;
   char at[32];
   std::snprintf(at, sizeof at, "%.1f", Now() / 1000);
-  std::string line = std::string("hosts at=") + at + " out=" + std::to_string(hosts_.active());
+  std::string line = std::string("hosts at=") + at + " out=" + std::to_string(hosts_.attempts_in_flight());
   for (const ServerStatus& verdict : policy_.ServerStatuses()) {
     char share[32];
     std::snprintf(share, sizeof share, "=%.2f", verdict.weight);
@@ -308,11 +310,11 @@
   }
 }
 
-void Pool::ListFailed() { Report(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
+void Pool::MembershipUpdateFailed() { Report(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
 
-void Pool::Gone(const std::string& id) {
+void Pool::ClientDisconnected(const std::string& id) {
   if (Flow* const flow = Find(id)) {
-    if (!flow->answered) Ended(*flow, ledger::Fate::kGone, "");
+    if (!flow->answered) Ended(*flow, ledger::RequestOutcome::kGone, "");
     flow->answered = true;  // nothing is owed any more
     flow->http.reset();
     flow->hold.reset();
@@ -321,13 +323,13 @@
   Report(ClientGone{id});
 }
 
-void Pool::FailRest() {
+void Pool::FailPending() {
   std::vector<std::string> left;
   for (const auto& [id, flow] : flows_) left.push_back(id);
   for (const std::string& id : left) Overdue(id);
 }
 
-void Pool::Abandon() {
+void Pool::DropPending() {
   idle_ = nullptr;
   const auto flows = std::exchange(flows_, {});  // what they hold may lead back here
 }
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gateway/call.hpp"
+#include "gateway/client_request.hpp"
 #include "ledger/losses.hpp"
 #include "membership/host_list.hpp"
 #include "opalswitch/policy.hpp"
@@ -27,29 +27,29 @@
     Settings settings;  // of its module
     std::uint64_t seed = 0;
     HostPool::Limits upstream;
-    bool plain = false;           // answers for HTTP's usual clients: see docs/operators/services.md
-    std::function<void()> watch;  // the module asks for the list of hosts; may be empty
+    bool plain = false;                   // answers for HTTP's usual clients: see docs/operators/services.md
+    std::function<void()> request_watch;  // the module asks for the list of hosts; may be empty
   };
 
   // Throws std::invalid_argument if the settings can't work. Held by a shared_ptr.
   Pool(boost::asio::io_context& io, Options options);
 
-  // Takes a request; its answer follows, perhaps before Take returns.
-  void Take(Call&& call);
+  // Takes a request; its answer follows, perhaps before Submit returns.
+  void Submit(ClientRequest&& call);
   // The client of an unanswered request has left.
-  void Gone(const std::string& id);
+  void ClientDisconnected(const std::string& id);
 
   // What the membership says. Takes effect at once.
-  void Told(const HostList& list);
-  void ListFailed();
-  bool listed() const { return listed_; }  // some host was told of
+  void UpdateMembership(const HostList& list);
+  void MembershipUpdateFailed();
+  bool has_hosts() const { return listed_; }  // some host was told of
 
   // Fails all that is not answered yet.
-  void FailRest();
+  void FailPending();
   // Lets go of all requests without an answer: for the end of the process, when nobody is left to take one.
-  void Abandon();
+  void DropPending();
   // Requests that are not answered, or have attempts out.
-  std::size_t open() const { return flows_.size(); }
+  std::size_t active_requests() const { return flows_.size(); }
   // `idle` is called, from the loop, each time that no request is open any more, and now if none is.
   void WhenIdle(std::function<void()> idle);
   std::size_t connections() const { return hosts_.connections(); }
@@ -93,8 +93,8 @@
   Flow* Find(const std::string& id);
   void Answer(Flow& flow, HttpResponse response);
   // An answer of the gateway's own, with its cause in a word.
-  void Decline(Flow& flow, ledger::Fate fate, HttpResponse response, std::string_view cause);
-  void Ended(const Flow& flow, ledger::Fate fate, std::string_view cause);
+  void Decline(Flow& flow, ledger::RequestOutcome fate, HttpResponse response, std::string_view cause);
+  void Ended(const Flow& flow, ledger::RequestOutcome fate, std::string_view cause);
   void TellLosses();
   void Settle(const std::string& id);
 
@@ -104,7 +104,7 @@
   HostPool hosts_;
   std::unordered_map<std::string, Flow> flows_;
   std::deque<Event> events_;
-  ledger::Losses losses_;
+  ledger::LossRecorder losses_;
   std::unordered_map<std::string, Millis> aims_;  // by class
   bool reporting_ = false;
   bool listed_ = false;
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -55,14 +55,14 @@
       : id(from.id),
         definition(from.definition),
         gate(from.gate),
-        pacer(std::make_shared<limits::Pacer>(from.reread_per_s, kMostPause)) {}
+        pacer(std::make_shared<limits::ReadThrottle>(from.reread_per_s, kMostPause)) {}
 
   const std::string id;
   const std::string definition;
   NodeRegistry::PoolId number = 0;
-  limits::PoolGate gate;
-  const std::shared_ptr<limits::Pacer> pacer;
-  limits::SharedBudget::Party descriptors = 0, places = 0, bodies = 0;
+  limits::RequestLimiter gate;
+  const std::shared_ptr<limits::ReadThrottle> pacer;
+  limits::SharedBudget::ParticipantId descriptors = 0, places = 0, bodies = 0;
   std::shared_ptr<Pool> pool;
   std::unique_ptr<Source> source;
   bool retired = false;
@@ -74,9 +74,9 @@
       : gateway(owner), alive(owner.alive_), member(std::move(of)) {}
   ~Ticket() {
     if (alive.expired()) return;
-    member->gate.Leave();
-    gateway.places_.Give(member->places);
-    if (body > 0) gateway.bodies_.Give(member->bodies, body);
+    member->gate.Release();
+    gateway.places_.Release(member->places);
+    if (body > 0) gateway.bodies_.Release(member->bodies, body);
     if (member->retired) gateway.Sweep();
   }
   Ticket(const Ticket&) = delete;
@@ -96,17 +96,17 @@
       bodies_(0),
       clients_(io, LimitsOf(*services),
                {[this] {
-                  const auto listed = [](const auto& member) { return member->pool->listed(); };
+                  const auto listed = [](const auto& member) { return member->pool->has_hosts(); };
                   return snapshot_ && !stop_.begun() &&
                          std::any_of(snapshot_->members.begin(), snapshot_->members.end(), listed);
                 },
                 [this](const HttpRequest& head, const routing::Target& target, const Origin& origin,
-                       Call& call) { return Admit(head, target, origin, call); },
+                       ClientRequest& call) { return Admit(head, target, origin, call); },
                 [this] { return snapshot_->services->tell_cause; }},
                services->health_path),
       stop_(io, clients_, [this] {
-        for (const auto& member : snapshot_->members) member->pool->FailRest();
-        for (const auto& member : retiring_) member->pool->FailRest();
+        for (const auto& member : snapshot_->members) member->pool->FailPending();
+        for (const auto& member : retiring_) member->pool->FailPending();
       }) {
   const ClientLimits limits = LimitsOf(*services);
   places_.Resize(std::max<std::uint64_t>(
@@ -118,20 +118,20 @@
 
 // A request holds its pool by its ticket, and the pool holds the request.
 ServiceGateway::~ServiceGateway() {
-  for (const auto& member : snapshot_->members) member->pool->Abandon();
-  for (const auto& member : retiring_) member->pool->Abandon();
+  for (const auto& member : snapshot_->members) member->pool->DropPending();
+  for (const auto& member : retiring_) member->pool->DropPending();
 }
 
 std::shared_ptr<ServiceGateway::Member> ServiceGateway::MakeMember(const config::Pool& from) {
   auto member = std::make_shared<Member>(from);
   member->number = ++made_;
   const auto most = [](const config::Portion& portion) {
-    return portion.most > 0 ? portion.most : limits::SharedBudget::kNoMost;
+    return portion.most > 0 ? portion.most : limits::SharedBudget::kUnlimited;
   };
   // Guarantees follow once the new file holds.
-  member->descriptors = descriptors_.Join(0, most(from.descriptors));
-  member->places = places_.Join(0, most(from.clients));
-  member->bodies = bodies_.Join(0, most(from.body_memory));
+  member->descriptors = descriptors_.AddParticipant(0, most(from.descriptors));
+  member->places = places_.AddParticipant(0, most(from.clients));
+  member->bodies = bodies_.AddParticipant(0, most(from.body_memory));
   Settings settings = from.settings;
   const auto all = std::min<std::uint64_t>(descriptors_.total(), most(from.descriptors));
   const auto wanted = static_cast<std::uint64_t>(settings.max_in_flight);
@@ -139,21 +139,21 @@
   HostPool::Limits upstream;
   upstream.dial_timeout = from.dial_timeout;
   upstream.idle_timeout = from.idle_timeout;
-  upstream.connections = static_cast<std::size_t>(all);
-  upstream.answer_body = from.answer_body;
+  upstream.max_connections = static_cast<std::size_t>(all);
+  upstream.max_response_bytes = from.answer_body;
   upstream.plain = from.answers == config::Answers::kPlain;
-  upstream.take_socket = [this, party = member->descriptors] { return descriptors_.Take(party); };
-  upstream.give_socket = [this, party = member->descriptors, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) descriptors_.Give(party);
+  upstream.acquire_socket = [this, party = member->descriptors] { return descriptors_.TryAcquire(party); };
+  upstream.release_socket = [this, party = member->descriptors, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired()) descriptors_.Release(party);
   };
   try {
     member->pool = std::make_shared<Pool>(
         io_, Pool::Options{from.id, std::move(settings), seed_ ^ (0x9e3779b97f4a7c15ULL * made_),
                            std::move(upstream), from.answers == config::Answers::kPlain, nullptr});
   } catch (const std::exception& error) {
-    descriptors_.Leave(member->descriptors);
-    places_.Leave(member->places);
-    bodies_.Leave(member->bodies);
+    descriptors_.RemoveParticipant(member->descriptors);
+    places_.RemoveParticipant(member->places);
+    bodies_.RemoveParticipant(member->bodies);
     throw std::runtime_error("pool " + from.id + ": " + error.what());
   }
   return member;
@@ -163,7 +163,7 @@
 void ServiceGateway::Begin(Member& member, const config::Pool& from) {
   Member* const to = &member;  // it outlives its source, which it holds
   Source::Handlers handlers{[this, to](const HostList& list) { Told(*to, list); },
-                            [to] { to->pool->ListFailed(); },
+                            [to] { to->pool->MembershipUpdateFailed(); },
                             [to](const std::string& text) { Say("pool " + to->id + ": " + text); }};
   member.source = MakeSource(io_, from.membership, std::move(handlers));
   member.source->Start();
@@ -173,7 +173,7 @@
 // parts, and the rest to whoever needs it.
 void ServiceGateway::Share(const Snapshot& snapshot) {
   const auto deal = [&](limits::SharedBudget& budget, config::Portion config::Pool::*portion,
-                        limits::SharedBudget::Party Member::*party) {
+                        limits::SharedBudget::ParticipantId Member::*party) {
     const auto& pools = snapshot.services->pools;
     std::uint64_t asked = 0, silent = 0;
     for (const config::Pool& pool : pools) {
@@ -184,8 +184,8 @@
     const std::uint64_t each = silent > 0 && half > asked ? (half - asked) / silent : 0;
     for (std::size_t i = 0; i < pools.size(); ++i) {
       const config::Portion& p = pools[i].*portion;
-      budget.Change(*snapshot.members[i].*party, p.guaranteed > 0 ? p.guaranteed : each,
-                    p.most > 0 ? p.most : limits::SharedBudget::kNoMost);
+      budget.SetLimits(*snapshot.members[i].*party, p.guaranteed > 0 ? p.guaranteed : each,
+                       p.most > 0 ? p.most : limits::SharedBudget::kUnlimited);
     }
   };
   deal(descriptors_, &config::Pool::descriptors, &Member::descriptors);
@@ -202,9 +202,9 @@
   std::vector<config::Listener> opened;
   const auto undo = [&] {
     for (const auto& [member, pool] : made) {
-      descriptors_.Leave(member->descriptors);
-      places_.Leave(member->places);
-      bodies_.Leave(member->bodies);
+      descriptors_.RemoveParticipant(member->descriptors);
+      places_.RemoveParticipant(member->places);
+      bodies_.RemoveParticipant(member->bodies);
     }
     for (const config::Listener& listener : opened) clients_.Unlisten(listener.id, listener.address);
   };
@@ -270,10 +270,12 @@
 void ServiceGateway::Told(Member& member, const HostList& list) {
   const auto known = nodes_.drains();
   const auto news = nodes_.Told(member.number, list, Now());
-  const auto give = [&](const std::shared_ptr<Member>& to, const HostList& told) { to->pool->Told(told); };
+  const auto give = [&](const std::shared_ptr<Member>& to, const HostList& told) {
+    to->pool->UpdateMembership(told);
+  };
   for (const NodeRegistry::News& item : news) {
     if (item.pool == member.number) {
-      member.pool->Told(item.list);
+      member.pool->UpdateMembership(item.list);
       continue;
     }
     for (const auto& other : snapshot_->members) {
@@ -296,9 +298,9 @@
 void ServiceGateway::Retire(const std::shared_ptr<Member>& member) {
   member->retired = true;
   retiring_.push_back(member);
-  descriptors_.Change(member->descriptors, 0);
-  places_.Change(member->places, 0);
-  bodies_.Change(member->bodies, 0);
+  descriptors_.SetLimits(member->descriptors, 0);
+  places_.SetLimits(member->places, 0);
+  bodies_.SetLimits(member->bodies, 0);
   member->pool->WhenIdle([this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Sweep();
   });
@@ -311,20 +313,20 @@
     if (alive.expired()) return;
     sweeping_ = false;
     retiring_.remove_if([this](const std::shared_ptr<Member>& member) {
-      if (member->pool->open() > 0 || member->gate.held() > 0) return false;
+      if (member->pool->active_requests() > 0 || member->gate.active() > 0) return false;
       nodes_.Forget(member->number);
-      descriptors_.Leave(member->descriptors);
-      places_.Leave(member->places);
-      bodies_.Leave(member->bodies);
+      descriptors_.RemoveParticipant(member->descriptors);
+      places_.RemoveParticipant(member->places);
+      bodies_.RemoveParticipant(member->bodies);
       return true;
     });
   });
 }
 
-std::optional<Fault> ServiceGateway::Admit(const HttpRequest& head, const routing::Target& target,
-                                           const Origin& origin, Call& call) {
+std::optional<LocalReply> ServiceGateway::Admit(const HttpRequest& head, const routing::Target& target,
+                                                const Origin& origin, ClientRequest& call) {
   const auto fault = [](http::status status, std::string text) {
-    Fault f{status, std::move(text)};
+    LocalReply f{status, std::move(text)};
     f.keep_connection = true;
     return f;
   };
@@ -359,16 +361,16 @@
   const config::RouteRule& rule = services.routes[*match];
   const std::shared_ptr<Member>& member = snapshot->members[rule.pool];
   call.client = origin.client.is_unspecified() ? "" : origin.client.to_string();
-  call.pacer = member->pacer;
+  call.read_throttle = member->pacer;
   if (auto wrong = Describe(head, rule, services.pools[rule.pool], call)) return wrong;
   return Enter(member, call);
 }
 
 // What class the request is of, and what it tells of itself.
-std::optional<Fault> ServiceGateway::Describe(const HttpRequest& head, const config::RouteRule& rule,
-                                              const config::Pool& pool, Call& call) {
+std::optional<LocalReply> ServiceGateway::Describe(const HttpRequest& head, const config::RouteRule& rule,
+                                                   const config::Pool& pool, ClientRequest& call) {
   const auto fault = [](http::status status, std::string text, std::string allow = {}) {
-    Fault f{status, std::move(text), 0, std::move(allow)};
+    LocalReply f{status, std::move(text), 0, std::move(allow)};
     f.keep_connection = true;
     return f;
   };
@@ -402,12 +404,12 @@
   call.class_name = cls->settings.name;
   call.tenant = field(names.tenant);
   call.key = field(names.key);
-  call.retry = field(names.retry) == "1";
-  call.allowed = cls->settings.deadline;
+  call.is_retry = field(names.retry) == "1";
+  call.client_timeout = cls->settings.deadline;
   if (const std::string stated = field(names.deadline); !stated.empty()) {
     const auto deadline = ReadDeadline(stated);
     if (!deadline) return fault(http::status::bad_request, names.deadline + " is malformed");
-    call.allowed = std::min(call.allowed, *deadline);
+    call.client_timeout = std::min(call.client_timeout, *deadline);
   }
   call.id = field(names.id);
   if (call.id.size() > kMostId) return fault(http::status::bad_request, names.id + " is too long");
@@ -417,36 +419,36 @@
                   static_cast<unsigned long long>(++ids_));
     call.id = id;
   }
-  call.most_body = pool.request_body;
+  call.max_body_bytes = pool.request_body;
   return std::nullopt;
 }
 
 // Takes the request in by its pool's limits, or turns it away at once.
-std::optional<Fault> ServiceGateway::Enter(const std::shared_ptr<Member>& member, Call& call) {
+std::optional<LocalReply> ServiceGateway::Enter(const std::shared_ptr<Member>& member, ClientRequest& call) {
   const auto refuse = [](http::status status, std::string text, Millis retry_after, std::string cause) {
-    Fault f{status, std::move(text), retry_after, {}, std::move(cause)};
+    LocalReply f{status, std::move(text), retry_after, {}, std::move(cause)};
     f.keep_connection = true;
     return f;
   };
-  if (!places_.Take(member->places)) {
+  if (!places_.TryAcquire(member->places)) {
     return refuse(http::status::service_unavailable, "pool " + member->id + " has no places left", kBusyRetry,
                   "places");
   }
-  const auto answer = member->gate.Enter(Now());
-  if (answer.verdict != limits::PoolGate::Verdict::kEnter) {
-    places_.Give(member->places);
-    const bool fast = answer.verdict == limits::PoolGate::Verdict::kTooFast;
+  const auto answer = member->gate.TryAdmit(Now());
+  if (answer.decision != limits::RequestLimiter::Decision::kAdmitted) {
+    places_.Release(member->places);
+    const bool fast = answer.decision == limits::RequestLimiter::Decision::kRateExceeded;
     return refuse(
         fast ? http::status::too_many_requests : http::status::service_unavailable,
         "pool " + member->id + (fast ? " takes no more requests a second" : " holds no more requests"),
         answer.retry_after, fast ? "pace" : "held");
   }
   const auto ticket = std::make_shared<Ticket>(*this, member);
-  call.hold = ticket;
+  call.admission = ticket;
   call.pool = member->pool;
-  call.reserve = [this, weak = std::weak_ptr(ticket)](std::uint64_t bytes) {
+  call.reserve_body = [this, weak = std::weak_ptr(ticket)](std::uint64_t bytes) {
     const auto held = weak.lock();
-    if (!held || held->body > 0 || !bodies_.Take(held->member->bodies, bytes)) return false;
+    if (!held || held->body > 0 || !bodies_.TryAcquire(held->member->bodies, bytes)) return false;
     held->body = bytes;
     return true;
   };
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -14,11 +14,11 @@
 #include <vector>
 
 #include "config/services.hpp"
-#include "gateway/call.hpp"
+#include "gateway/client_request.hpp"
 #include "gateway/pool.hpp"
 #include "gateway/stop_sequence.hpp"
 #include "http/client_server.hpp"
-#include "limits/pool_gate.hpp"
+#include "limits/request_limiter.hpp"
 #include "limits/shared_budget.hpp"
 #include "membership/node_registry.hpp"
 #include "membership/source.hpp"
@@ -48,7 +48,7 @@
 
   // What stands where, for tests and logs.
   std::shared_ptr<const Pool> pool(const std::string& id) const;
-  std::size_t retiring() const { return retiring_.size(); }
+  std::size_t draining_pools() const { return retiring_.size(); }
   const NodeRegistry& nodes() const { return nodes_; }
   std::size_t connections() const { return clients_.connections(); }
 
@@ -61,11 +61,11 @@
     std::vector<std::shared_ptr<Member>> members;  // as services->pools
   };
 
-  std::optional<Fault> Admit(const HttpRequest& head, const routing::Target& target, const Origin& origin,
-                             Call& call);
-  std::optional<Fault> Describe(const HttpRequest& head, const config::RouteRule& rule,
-                                const config::Pool& pool, Call& call);
-  std::optional<Fault> Enter(const std::shared_ptr<Member>& member, Call& call);
+  std::optional<LocalReply> Admit(const HttpRequest& head, const routing::Target& target,
+                                  const Origin& origin, ClientRequest& call);
+  std::optional<LocalReply> Describe(const HttpRequest& head, const config::RouteRule& rule,
+                                     const config::Pool& pool, ClientRequest& call);
+  std::optional<LocalReply> Enter(const std::shared_ptr<Member>& member, ClientRequest& call);
 
   // Throws std::exception if the pool can't work.
   std::shared_ptr<Member> MakeMember(const config::Pool& pool);
--- a/src/http/client_server.cpp
+++ b/src/http/client_server.cpp
@@ -135,11 +135,11 @@
     if (ec) return Unreadable(ec);
     const HttpRequest& head = parser_->get();
     if (const auto fault = ReadMessage(head, target_)) return Refuse(*fault);
-    Call& call = call_.emplace();
+    ClientRequest& call = call_.emplace();
     health_ = !server_.health_.empty() && target_.path == server_.health_ && head.method() == http::verb::get;
     if (!health_) {
       const auto fault = server_.handlers_.admit(head, target_, origin_, call);
-      pacer_ = call.pacer;
+      pacer_ = call.read_throttle;
       if (fault) {
         if (!fault->keep_connection || !parser_->is_done()) return Refuse(*fault);
         keep_alive_ = head.keep_alive();
@@ -149,13 +149,13 @@
     }
     if (parser_->is_done()) return Take();
     const auto length = parser_->content_length();
-    if (length && *length > call.most_body) return Unreadable(http::error::body_limit);
-    const std::uint64_t room = length ? *length : call.most_body;
-    if (!server_.Reserve(room, reserved_) || (call.reserve && !call.reserve(room))) {
+    if (length && *length > call.max_body_bytes) return Unreadable(http::error::body_limit);
+    const std::uint64_t room = length ? *length : call.max_body_bytes;
+    if (!server_.Reserve(room, reserved_) || (call.reserve_body && !call.reserve_body(room))) {
       return Refuse(
           {http::status::service_unavailable, "no memory for the body", kNoMemoryWait, {}, "memory"});
     }
-    parser_->body_limit(call.most_body);
+    parser_->body_limit(call.max_body_bytes);
     http::async_read(socket_, buffer_, *parser_,
                      [self = shared_from_this()](error_code body_ec, std::size_t) {
                        if (self->phase_ != Phase::kReading) return;
@@ -184,10 +184,10 @@
     }
     Settle(http, target_);
     head_ = http.method() == http::verb::head;
-    Call& call = *call_;
+    ClientRequest& call = *call_;
     call.http = std::move(http);
     call.received = at > 0 ? at : Now();
-    call.answer = [weak = weak_from_this(), turn = ++turn_](HttpResponse response) {
+    call.respond = [weak = weak_from_this(), turn = ++turn_](HttpResponse response) {
       const auto self = weak.lock();
       if (self && self->turn_ == turn && self->phase_ == Phase::kWaiting) self->Answer(std::move(response));
     };
@@ -200,9 +200,9 @@
       WatchForLeaving();
     }
     const auto pool = pool_;  // the answer may come at once, and the pool be let go with it
-    Call taken = std::move(*call_);
+    ClientRequest taken = std::move(*call_);
     call_.reset();
-    pool->Take(std::move(taken));
+    pool->Submit(std::move(taken));
   }
 
   // Nothing is read while a request is out: whoever sends on waits in its own socket, and takes no memory
@@ -216,18 +216,18 @@
       }
       const auto pool = self->pool_;
       self->Close();  // its request is told off after the connection is forgotten
-      pool->Gone(self->id_);
+      pool->ClientDisconnected(self->id_);
     });
   }
 
   // Whoever broke the protocol once has no place to go on from: what follows could be anything.
-  void Refuse(const Fault& fault) {
+  void Refuse(const LocalReply& fault) {
     HttpResponse response = ToAnswer(fault);
     response.keep_alive(false);
     Answer(std::move(response));
   }
 
-  static HttpResponse ToAnswer(const Fault& fault) {
+  static HttpResponse ToAnswer(const LocalReply& fault) {
     HttpResponse response(fault.status, 11);
     response.set(http::field::content_type, "text/plain");
     if (!fault.allow.empty()) response.set(http::field::allow, fault.allow);
@@ -284,7 +284,7 @@
     if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
     parser_.emplace();  // Begun() asks it
     const auto pacer = std::exchange(pacer_, nullptr);
-    const Millis pause = turned_away_ && pacer ? pacer->Pause(Now()) : 0;
+    const Millis pause = turned_away_ && pacer ? pacer->NextDelay(Now()) : 0;
     if (pause > 0 && !server_.draining_) {
       ReadAfter(pause);
     } else {
@@ -331,12 +331,12 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   HttpResponse response_;
   Origin origin_;
-  routing::Target target_;                // of the request that is being read
-  std::optional<Call> call_;              // the same, from its head until it is taken
-  bool health_ = false;                   // it asks for this gateway's own health
-  bool head_ = false;                     // it is a HEAD request
-  std::shared_ptr<limits::Pacer> pacer_;  // of the pool that it is for
-  bool turned_away_ = false;              // by the last answer
+  routing::Target target_;                       // of the request that is being read
+  std::optional<ClientRequest> call_;            // the same, from its head until it is taken
+  bool health_ = false;                          // it asks for this gateway's own health
+  bool head_ = false;                            // it is a HEAD request
+  std::shared_ptr<limits::ReadThrottle> pacer_;  // of the pool that it is for
+  bool turned_away_ = false;                     // by the last answer
   std::string id_;
   std::shared_ptr<Pool> pool_;  // that has its request
   std::uint64_t turn_ = 0;
--- a/src/http/client_server.hpp
+++ b/src/http/client_server.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/http_types.hpp"
-#include "gateway/call.hpp"
+#include "gateway/client_request.hpp"
 #include "opalswitch/policy.hpp"
 #include "routing/target.hpp"
 
@@ -44,7 +44,8 @@
     std::function<bool()> ready;
     // Decides by its head what becomes of a request: fills in the call, all but its message, its time and its
     // answer, or gives the answer to one that goes no further.
-    std::function<std::optional<Fault>(const HttpRequest&, const routing::Target&, const Origin&, Call&)>
+    std::function<std::optional<LocalReply>(const HttpRequest&, const routing::Target&, const Origin&,
+                                            ClientRequest&)>
         admit;
     // Whether answers of the gateway's own say why; empty = they do.
     std::function<bool()> tell_cause = nullptr;
--- a/src/http/message_rules.cpp
+++ b/src/http/message_rules.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-std::optional<Fault> ReadMessage(const HttpRequest& head, routing::Target& target) {
-  const auto bad = [](std::string text) { return Fault{http::status::bad_request, std::move(text)}; };
+std::optional<LocalReply> ReadMessage(const HttpRequest& head, routing::Target& target) {
+  const auto bad = [](std::string text) { return LocalReply{http::status::bad_request, std::move(text)}; };
   if (FramingOf(head) == Framing::kAmbiguous) return bad("where the body ends is not clear");
   // RFC 9112 6.1: HTTP/1.0 knows no transfer codings, and a recipient of that version would read on by
   // another rule.
@@ -38,7 +38,7 @@
   }
   const std::string_view method = View(head.method_string());
   if (method == "CONNECT" || method == "TRACE") {
-    return Fault{http::status::not_implemented, std::string(method) + " is not served"};
+    return LocalReply{http::status::not_implemented, std::string(method) + " is not served"};
   }
   const auto hosts = head.count(http::field::host);
   if (hosts > 1) return bad("Host is repeated");
--- a/src/http/platform_call.cpp
+++ b/src/http/platform_call.cpp
@@ -46,9 +46,11 @@
   return classes;
 }
 
-std::optional<Fault> CheckPlatformCall(const Classes& classes, const HttpRequest& http,
-                                       const routing::Target& target, Call& call) {
-  const auto fault = [](http::status status, std::string text) { return Fault{status, std::move(text)}; };
+std::optional<LocalReply> CheckPlatformCall(const Classes& classes, const HttpRequest& http,
+                                            const routing::Target& target, ClientRequest& call) {
+  const auto fault = [](http::status status, std::string text) {
+    return LocalReply{status, std::move(text)};
+  };
   if (target.path != "/api" && !target.path.starts_with("/api/")) {
     return fault(http::status::not_found, "no such path");
   }
@@ -68,16 +70,16 @@
   if (found == classes.end()) return fault(http::status::bad_request, "Req-Kind names no class");
   const auto allowed = ParseDeadline(Field(http, "Req-Deadline"));
   if (!allowed) return fault(http::status::bad_request, "Req-Deadline is missing or malformed");
-  call.allowed = *allowed;
+  call.client_timeout = *allowed;
   // A repeat of a request that is not safe must be possible to tell from its class and method alike.
   if (http.method() != (found->second == Effect::kSafe ? http::verb::get : http::verb::post)) {
-    return Fault{http::status::method_not_allowed, "the class takes another method", 0, "GET, POST"};
+    return LocalReply{http::status::method_not_allowed, "the class takes another method", 0, "GET, POST"};
   }
   if (found->second == Effect::kKeyed && http["Idempotency-Key"].empty()) {
     return fault(http::status::bad_request, "Idempotency-Key is missing");
   }
   call.tenant = Field(http, "Req-Owner");
-  call.retry = http["Req-Retry"] == "1";
+  call.is_retry = http["Req-Retry"] == "1";
   call.key = Field(http, "Req-Key");
   call.cost = ParseCost(Field(http, "Req-Cost"));
   return std::nullopt;
--- a/src/http/platform_call.hpp
+++ b/src/http/platform_call.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "base/http_types.hpp"
-#include "gateway/call.hpp"
+#include "gateway/client_request.hpp"
 #include "opalswitch/policy.hpp"
 #include "routing/target.hpp"
 
@@ -19,8 +19,8 @@
 Classes PlatformClasses(const Settings& settings);
 
 // Fills in the call, or gives the answer to a request that breaks the protocol.
-std::optional<Fault> CheckPlatformCall(const Classes& classes, const HttpRequest& head,
-                                       const routing::Target& target, Call& call);
+std::optional<LocalReply> CheckPlatformCall(const Classes& classes, const HttpRequest& head,
+                                            const routing::Target& target, ClientRequest& call);
 
 // "480m" or "480000u": milliseconds. Longer ones are cut to ten minutes: timers must not overflow.
 std::optional<Millis> ParseDeadline(std::string_view text);
--- a/src/ledger/losses.cpp
+++ b/src/ledger/losses.cpp
@@ -6,7 +6,7 @@
 
 namespace opalswitch::ledger {
 
-const char* ToWord(Result result) {
+const char* ResultName(Result result) {
   switch (result) {
     case Result::kServed: return "served";
     case Result::kError: return "error";
@@ -20,40 +20,41 @@
   return "unknown";
 }
 
-Losses::Losses(const std::vector<ClassSettings>& classes) {
+LossRecorder::LossRecorder(const std::vector<ClassSettings>& classes) {
   for (const ClassSettings& c : classes) {
     names_.push_back(c.name);
     accounts_[c.name].worth = c.worth;
   }
 }
 
-void Losses::Ended(const std::string& class_name, Fate fate, std::string_view cause, Millis took) {
+void LossRecorder::RecordRequest(const std::string& class_name, RequestOutcome fate, std::string_view cause,
+                                 Millis took) {
   const auto found = accounts_.find(class_name);
   if (found == accounts_.end()) return;
   Account& account = found->second;
   ++account.ended;
-  if (fate == Fate::kInTime) {
+  if (fate == RequestOutcome::kInTime) {
     ++account.in_time;
     return;
   }
   lost_ = true;
-  if (fate == Fate::kLate) ++account.late;
-  if (fate == Fate::kGone) ++account.gone;
-  if (fate == Fate::kRefused || fate == Fate::kFailed) {
-    ++account.causes[(fate == Fate::kRefused ? "refused." : "failed.") + std::string(cause)];
+  if (fate == RequestOutcome::kLate) ++account.late;
+  if (fate == RequestOutcome::kGone) ++account.gone;
+  if (fate == RequestOutcome::kRefused || fate == RequestOutcome::kFailed) {
+    ++account.causes[(fate == RequestOutcome::kRefused ? "refused." : "failed.") + std::string(cause)];
     account.waited += took;
   }
 }
 
-void Losses::Wasted(const std::string& class_name, Result result, Millis spent) {
+void LossRecorder::RecordWastedAttempt(const std::string& class_name, Result result, Millis spent) {
   const auto found = accounts_.find(class_name);
   if (found == accounts_.end()) return;
   lost_ = true;
-  ++found->second.causes[std::string("wasted.") + ToWord(result)];
+  ++found->second.causes[std::string("wasted.") + ResultName(result)];
   found->second.wasted += spent;
 }
 
-std::vector<std::string> Losses::Lines(Millis now) {
+std::vector<std::string> LossRecorder::TakeLogLines(Millis now) {
   if (now < told_at_ + kLineEvery) return {};
   told_at_ = now;
   std::vector<std::string> lines;
--- a/src/ledger/losses.hpp
+++ b/src/ledger/losses.hpp
@@ -15,26 +15,26 @@
 namespace opalswitch::ledger {
 
 // How a request ended for its client.
-enum class Fate { kInTime, kLate, kRefused, kFailed, kGone };
+enum class RequestOutcome { kInTime, kLate, kRefused, kFailed, kGone };
 
-class Losses {
+class LossRecorder {
  public:
   // Every so many ms at the most a class has a line; none where nothing was lost.
   static constexpr Millis kLineEvery = 1000;
 
-  explicit Losses(const std::vector<ClassSettings>& classes);
+  explicit LossRecorder(const std::vector<ClassSettings>& classes);
 
   // One request has ended, `took` ms after it came. `cause` is one word; empty for what was served.
-  void Ended(const std::string& class_name, Fate fate, std::string_view cause, Millis took);
+  void RecordRequest(const std::string& class_name, RequestOutcome fate, std::string_view cause, Millis took);
   // An attempt ended without serving anybody; `spent` ms of a server's time at the most.
-  void Wasted(const std::string& class_name, Result result, Millis spent);
+  void RecordWastedAttempt(const std::string& class_name, Result result, Millis spent);
 
   // The lines of what ended since the last ones, if it is time and something was lost:
   //   losses class=view at=17.0 worth=5 ended=41 in_time=30 late=3 refused.rate=6 failed.ran=1 gone=1
   //   wasted.reset=2 wasted_ms=80
   // `at` is `now` in seconds; waited_ms is the sum over what was refused or failed, wasted_ms that of
   // attempts.
-  std::vector<std::string> Lines(Millis now);
+  std::vector<std::string> TakeLogLines(Millis now);
 
  private:
   struct Account {
@@ -52,7 +52,7 @@
 };
 
 // The word for how an attempt ended.
-const char* ToWord(Result result);
+const char* ResultName(Result result);
 
 }  // namespace opalswitch::ledger
 
--- a/src/limits/pacer.hpp
+++ b/src/limits/read_throttle.hpp
@@ -4,8 +4,8 @@
 // others'.
 //
 // Pure: times are milliseconds on any monotonic clock, given by the caller.
-#ifndef OPALSWITCH_LIMITS_PACER_HPP_
-#define OPALSWITCH_LIMITS_PACER_HPP_
+#ifndef OPALSWITCH_LIMITS_READ_THROTTLE_HPP_
+#define OPALSWITCH_LIMITS_READ_THROTTLE_HPP_
 
 #include <algorithm>
 
@@ -13,13 +13,13 @@
 
 namespace opalswitch::limits {
 
-class Pacer {
+class ReadThrottle {
  public:
   // `per_s`: connections read from again each second, over all of a pool. `most`: longest pause of one.
-  Pacer(double per_s, Millis most) : gap_(1000 / per_s), most_(most) {}
+  ReadThrottle(double per_s, Millis most) : gap_(1000 / per_s), most_(most) {}
 
   // How long a connection that was turned away now is to pause. A few at a time pause for nothing.
-  Millis Pause(Millis now) {
+  Millis NextDelay(Millis now) {
     constexpr double kAtOnce = 20;
     next_ = std::max(next_, now - kAtOnce * gap_) + gap_;
     return std::clamp(next_ - now, 0.0, most_);
@@ -32,4 +32,4 @@
 
 }  // namespace opalswitch::limits
 
-#endif  // OPALSWITCH_LIMITS_PACER_HPP_
+#endif  // OPALSWITCH_LIMITS_READ_THROTTLE_HPP_
--- a/src/limits/pool_gate.cpp
+++ b/src/limits/request_limiter.cpp
@@ -1,4 +1,4 @@
-#include "limits/pool_gate.hpp"
+#include "limits/request_limiter.hpp"
 
 #include <algorithm>
 
@@ -9,22 +9,22 @@
 
 }  // namespace
 
-double PoolGate::Burst() const {
+double RequestLimiter::Burst() const {
   return limits_.burst > 0 ? limits_.burst : std::max(1.0, limits_.requests_per_s);
 }
 
-PoolGate::Answer PoolGate::Enter(Millis now) {
-  if (limits_.held > 0 && held_ >= limits_.held) return {Verdict::kTooMany, kWhenFull};
+RequestLimiter::Admission RequestLimiter::TryAdmit(Millis now) {
+  if (limits_.max_active > 0 && active_ >= limits_.max_active) return {Decision::kTooManyActive, kWhenFull};
   if (limits_.requests_per_s > 0) {
     const double per_ms = limits_.requests_per_s / 1000;
     const Millis passed = begun_ ? std::max(0.0, now - at_) : 0;
     tokens_ = std::min(Burst(), tokens_ + passed * per_ms);
     at_ = begun_ ? std::max(at_, now) : now;
     begun_ = true;
-    if (tokens_ < 1) return {Verdict::kTooFast, (1 - tokens_) / per_ms};
+    if (tokens_ < 1) return {Decision::kRateExceeded, (1 - tokens_) / per_ms};
     tokens_ -= 1;
   }
-  ++held_;
+  ++active_;
   return {};
 }
 
--- a/src/limits/shared_budget.hpp
+++ b/src/limits/shared_budget.hpp
@@ -14,28 +14,28 @@
 class SharedBudget {
  public:
   using Amount = std::uint64_t;
-  using Party = std::uint32_t;
-  static constexpr Amount kNoMost = std::numeric_limits<Amount>::max();
+  using ParticipantId = std::uint32_t;
+  static constexpr Amount kUnlimited = std::numeric_limits<Amount>::max();
 
   explicit SharedBudget(Amount total) : total_(total) {}
 
   // Guarantees may add up to more than the total for a while (a pool that drains beside the one that replaces
   // it): what is in use never exceeds the total all the same.
-  Party Join(Amount guaranteed, Amount most = kNoMost);
+  ParticipantId AddParticipant(Amount guaranteed, Amount most = kUnlimited);
   // Its guarantee ends; what it still holds stays counted until it is given back.
-  void Leave(Party party);
-  void Change(Party party, Amount guaranteed, Amount most = kNoMost);
+  void RemoveParticipant(ParticipantId party);
+  void SetLimits(ParticipantId party, Amount guaranteed, Amount most = kUnlimited);
   void Resize(Amount total) { total_ = total; }
 
   // False, and nothing taken, if there is no room for all of it.
-  bool Take(Party party, Amount amount = 1);
+  bool TryAcquire(ParticipantId party, Amount amount = 1);
   // At most what the party holds.
-  void Give(Party party, Amount amount = 1);
+  void Release(ParticipantId party, Amount amount = 1);
 
   Amount total() const { return total_; }
   Amount used() const { return used_; }
-  Amount used(Party party) const;
-  std::size_t parties() const { return parties_.size(); }
+  Amount used(ParticipantId party) const;
+  std::size_t participants() const { return participants_.size(); }
 
  private:
   struct Share {
@@ -46,8 +46,8 @@
   Amount total_;
   Amount used_ = 0;
   Amount booked_ = 0;  // the greater of used and guaranteed, summed
-  Party next_ = 1;
-  std::map<Party, Share> parties_;
+  ParticipantId next_ = 1;
+  std::map<ParticipantId, Share> participants_;
 };
 
 }  // namespace opalswitch::limits
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -132,7 +132,7 @@
   void Close() {
     if (!std::exchange(open_, false)) return;
     --pool_.connections_;
-    if (pool_.limits_.give_socket) pool_.limits_.give_socket();
+    if (pool_.limits_.release_socket) pool_.limits_.release_socket();
     error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
@@ -208,7 +208,7 @@
 
   void ReadHead() {
     parser_.emplace();
-    parser_->body_limit(pool_.limits_.answer_body);
+    parser_->body_limit(pool_.limits_.max_response_bytes);
     parser_->header_limit(kMostHeader);
     if (method_ == http::verb::head) parser_->skip(true);
     http::async_read_header(socket_, buffer_, *parser_,
@@ -233,7 +233,7 @@
       if (framing == Framing::kAmbiguous || !parser_->is_done()) return End(Result::kReset);
       return Received({});
     }
-    if (framing != Framing::kDelimited || (length && *length > pool_.limits_.answer_body)) {
+    if (framing != Framing::kDelimited || (length && *length > pool_.limits_.max_response_bytes)) {
       return End(Result::kReset);
     }
     if (parser_->is_done()) return Received({});
@@ -244,7 +244,7 @@
 
   void Received(error_code ec) {
     // Seen with Boost 1.74: an answer one byte over the parser's own limit got through.
-    if (ec || parser_->get().body().size() > pool_.limits_.answer_body) return End(Result::kReset);
+    if (ec || parser_->get().body().size() > pool_.limits_.max_response_bytes) return End(Result::kReset);
     HttpResponse response = parser_->release();
     const bool reusable = response.keep_alive() && Fresh() && pool_.MayUse(host_, address_);
     // Back to the pool before the outcome is told, for it may lead to the next send.
@@ -339,7 +339,7 @@
   if (connection->Open()) {
     connection->Dial(std::move(job));
   } else {
-    if (limits_.give_socket) limits_.give_socket();
+    if (limits_.release_socket) limits_.release_socket();
     job.done(Result::kNotSent, {});
   }
   return attempt;
@@ -359,9 +359,9 @@
 // Room for one more connection: by the pool's own limit, and out of what all pools share. An idle connection
 // of this pool gives way for it, never one of another.
 bool HostPool::TakeSocket() {
-  if (connections_ >= limits_.connections && !EvictIdle()) return false;
-  if (!limits_.take_socket) return true;
-  return limits_.take_socket() || (EvictIdle() && limits_.take_socket());
+  if (connections_ >= limits_.max_connections && !EvictIdle()) return false;
+  if (!limits_.acquire_socket) return true;
+  return limits_.acquire_socket() || (EvictIdle() && limits_.acquire_socket());
 }
 
 // Makes room by closing the connection that has been idle for longest. Each host's are in that order.
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -23,14 +23,14 @@
  public:
   struct Limits {
     Millis dial_timeout = 250;
-    Millis idle_timeout = 15000;    // hosts close connections that stood idle for this long
-    std::size_t connections = 256;  // over all hosts
-    std::uint64_t answer_body = kMostBody;
+    Millis idle_timeout = 15000;        // hosts close connections that stood idle for this long
+    std::size_t max_connections = 256;  // over all hosts
+    std::uint64_t max_response_bytes = kMostBody;
     // Any answer below 500 is served, whatever it says. Else only 200 is.
     bool plain = false;
     // Asks for a descriptor and gives one back, where several pools share them; empty = all are this one's.
-    std::function<bool()> take_socket = nullptr;
-    std::function<void()> give_socket = nullptr;
+    std::function<bool()> acquire_socket = nullptr;
+    std::function<void()> release_socket = nullptr;
   };
   // How an attempt ended; the answer is that of the host, if there was one. Called once for each Start,
   // perhaps before Start returns.
@@ -53,8 +53,8 @@
   void Cancel(std::uint64_t attempt);
 
   std::size_t connections() const { return connections_; }
-  std::size_t known() const { return hosts_.size(); }    // hosts that may be used
-  std::size_t active() const { return active_.size(); }  // attempts that are out
+  std::size_t host_count() const { return hosts_.size(); }           // hosts that may be used
+  std::size_t attempts_in_flight() const { return active_.size(); }  // attempts that are out
 
  private:
   class Connection;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -565,8 +565,8 @@
 }
 
 // For a front end alone: every request is as good as another, and there is no pool to take it.
-std::optional<gateway::Fault> AdmitAll(const HttpRequest&, const routing::Target&, const gateway::Origin&,
-                                       gateway::Call&) {
+std::optional<gateway::LocalReply> AdmitAll(const HttpRequest&, const routing::Target&,
+                                            const gateway::Origin&, gateway::ClientRequest&) {
   return std::nullopt;
 }
 
@@ -929,7 +929,7 @@
     http.set("Req-Deadline", "400m");
     http.set("Req-Cost", cost);
     std::string error;
-    gateway::Call call;
+    gateway::ClientRequest call;
     const auto fault = gateway::CheckPlatformCall({{"view", Effect::kSafe}}, http,
                                                   *routing::ReadTarget("GET", "/api", error), call);
     EXPECT_FALSE(fault) << fault->text;
--- a/tests/losses_test.cpp
+++ b/tests/losses_test.cpp
@@ -8,47 +8,47 @@
 namespace opalswitch::testing {
 namespace {
 
-using ledger::Fate;
-
-TEST(Losses, TellsEachEndOnceByClassAndCause) {
-  ledger::Losses losses({MakeClass("view", Effect::kSafe, 5), MakeClass("pay", Effect::kUnsafe, 8)});
-  EXPECT_TRUE(losses.Lines(1000).empty()) << "nothing has ended";
-  losses.Ended("view", Fate::kInTime, "", 10);
-  losses.Ended("view", Fate::kRefused, CauseName(Cause::kRateLimited), 40);
-  losses.Ended("view", Fate::kRefused, CauseName(Cause::kRateLimited), 20);
-  losses.Ended("view", Fate::kLate, "", 700);
-  losses.Ended("view", Fate::kGone, "", 700);
-  losses.Wasted("view", Result::kReset, 30);
-  losses.Ended("pay", Fate::kFailed, CauseName(Cause::kMayHaveRun), 5);
-  EXPECT_TRUE(losses.Lines(1900).empty()) << "a line a second at the most";
-  EXPECT_EQ(losses.Lines(2000),
+using ledger::RequestOutcome;
+
+TEST(LossRecorder, TellsEachEndOnceByClassAndCause) {
+  ledger::LossRecorder losses({MakeClass("view", Effect::kSafe, 5), MakeClass("pay", Effect::kUnsafe, 8)});
+  EXPECT_TRUE(losses.TakeLogLines(1000).empty()) << "nothing has ended";
+  losses.RecordRequest("view", RequestOutcome::kInTime, "", 10);
+  losses.RecordRequest("view", RequestOutcome::kRefused, CauseName(Cause::kRateLimited), 40);
+  losses.RecordRequest("view", RequestOutcome::kRefused, CauseName(Cause::kRateLimited), 20);
+  losses.RecordRequest("view", RequestOutcome::kLate, "", 700);
+  losses.RecordRequest("view", RequestOutcome::kGone, "", 700);
+  losses.RecordWastedAttempt("view", Result::kReset, 30);
+  losses.RecordRequest("pay", RequestOutcome::kFailed, CauseName(Cause::kMayHaveRun), 5);
+  EXPECT_TRUE(losses.TakeLogLines(1900).empty()) << "a line a second at the most";
+  EXPECT_EQ(losses.TakeLogLines(2000),
             (std::vector<std::string>{
                 "losses class=view at=2.0 worth=5 ended=5 in_time=1 late=1 refused.rate=2 "
                 "wasted.reset=1 gone=1 waited_ms=60 wasted_ms=30",
                 "losses class=pay at=2.0 worth=8 ended=1 in_time=0 failed.ran=1 waited_ms=5"}));
-  EXPECT_TRUE(losses.Lines(3000).empty()) << "told twice";
+  EXPECT_TRUE(losses.TakeLogLines(3000).empty()) << "told twice";
 }
 
-TEST(Losses, SaysNothingOfASecondWithoutLosses) {
-  ledger::Losses losses({MakeClass("view")});
-  losses.Ended("view", Fate::kInTime, "", 10);
-  EXPECT_TRUE(losses.Lines(1000).empty());
-  losses.Ended("view", Fate::kGone, "", 10);
-  const auto lines = losses.Lines(2000);
+TEST(LossRecorder, SaysNothingOfASecondWithoutLosses) {
+  ledger::LossRecorder losses({MakeClass("view")});
+  losses.RecordRequest("view", RequestOutcome::kInTime, "", 10);
+  EXPECT_TRUE(losses.TakeLogLines(1000).empty());
+  losses.RecordRequest("view", RequestOutcome::kGone, "", 10);
+  const auto lines = losses.TakeLogLines(2000);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0], "losses class=view at=2.0 worth=1 ended=2 in_time=1 gone=1")
       << "what was served is not left out";
 }
 
 // Guards against names that clients choose: they would grow the accounts without end.
-TEST(Losses, KeepsNoAccountOfAClassThatIsNone) {
-  ledger::Losses losses({MakeClass("view")});
-  losses.Ended("nonsense", Fate::kRefused, "class", 0);
-  losses.Wasted("nonsense", Result::kReset, 0);
-  EXPECT_TRUE(losses.Lines(1000).empty());
+TEST(LossRecorder, KeepsNoAccountOfAClassThatIsNone) {
+  ledger::LossRecorder losses({MakeClass("view")});
+  losses.RecordRequest("nonsense", RequestOutcome::kRefused, "class", 0);
+  losses.RecordWastedAttempt("nonsense", Result::kReset, 0);
+  EXPECT_TRUE(losses.TakeLogLines(1000).empty());
 }
 
-TEST(Losses, HasAWordForEveryCause) {
+TEST(LossRecorder, HasAWordForEveryCause) {
   for (int cause = 0; cause <= static_cast<int>(Cause::kRetryBudgetExhausted); ++cause) {
     EXPECT_STRNE(CauseName(static_cast<Cause>(cause)), "unknown") << cause;
   }
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -313,7 +313,8 @@
     waiting.push_back(world.Connect());
     waiting.back()->Send(Post("/hung", "x"));
   }
-  ASSERT_TRUE(world.Until([&] { return world.gateway->pool("hung")->open() > 5 && !hung.requests.empty(); }));
+  ASSERT_TRUE(world.Until(
+      [&] { return world.gateway->pool("hung")->active_requests() > 5 && !hung.requests.empty(); }));
   Load load(world.io, world.gateway->address("in"), 20, 400, [](std::size_t) { return Get("/good"); });
   ASSERT_TRUE(world.Until([&] { return load.Done(); }));
   EXPECT_EQ(load.served(), 400u);
@@ -410,7 +411,7 @@
     if (revision++ > 0) return;
     taken.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
   };
-  ASSERT_TRUE(world.Until([&] { return world.gateway->pool("b")->listed(); }));
+  ASSERT_TRUE(world.Until([&] { return world.gateway->pool("b")->has_hosts(); }));
   const tcp::endpoint at = world.gateway->address("in");
   Load to_a(world.io, at, 4, 1000000, [](std::size_t) { return Get("/a"); });
   Load to_b(world.io, at, 4, 1000000, [](std::size_t) { return Get("/b"); });
@@ -483,7 +484,7 @@
   EXPECT_EQ(to_two.served(), to_two.Total());
   EXPECT_EQ(world.gateway->pool("two"), kept);  // nothing learned is lost
   EXPECT_NE(world.gateway->pool("one"), changed);
-  EXPECT_TRUE(world.Until([&] { return world.gateway->retiring() <= 1; }));
+  EXPECT_TRUE(world.Until([&] { return world.gateway->draining_pools() <= 1; }));
 }
 
 // Guards requests that must not run twice, in a pool that a new file takes away: each runs once and is
@@ -501,7 +502,7 @@
   }
   ASSERT_TRUE(world.Until([&] { return old.requests.size() == 6; }));
   ASSERT_FALSE(world.gateway->Reload(Parsed(std::string(kTop) + kept)));
-  EXPECT_EQ(world.gateway->retiring(), 1u);
+  EXPECT_EQ(world.gateway->draining_pools(), 1u);
   const auto late = world.Connect();
   late->Send(Post("/old", "late"));
   EXPECT_EQ(late->Await().result_int(), 404u);
@@ -511,7 +512,7 @@
   std::map<unsigned, int> statuses;
   for (const auto& client : clients) ++statuses[client->Await().result_int()];
   EXPECT_EQ(statuses, (std::map<unsigned, int>{{200, 4}, {500, 1}, {502, 1}}));
-  ASSERT_TRUE(world.Until([&] { return world.gateway->retiring() == 0; }));
+  ASSERT_TRUE(world.Until([&] { return world.gateway->draining_pools() == 0; }));
   EXPECT_EQ(old.requests.size(), 6u);
   for (const auto& client : clients) EXPECT_EQ(client->answers().size(), 1u);
   const auto next = world.Connect();
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -61,7 +61,7 @@
   const config::Pool& pool = s.pools[0];
   EXPECT_EQ(pool.settings.max_attempts, 2);
   EXPECT_EQ(pool.settings.max_in_flight, 7);
-  EXPECT_EQ(pool.gate.held, 10u);
+  EXPECT_EQ(pool.gate.max_active, 10u);
   EXPECT_EQ(pool.gate.requests_per_s, 5);
   EXPECT_EQ(pool.answer_body, 1u << 20);
   EXPECT_EQ(pool.request_body, 64u << 10);
