--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "apps/run_loop.hpp"
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 #include "config/platform_config.hpp"
 #include "config/services.hpp"
 #include "gateway/gateway.hpp"
@@ -61,11 +61,11 @@
   if (!first.services) return Print(first.issues, stderr), kFailed;
   asio::io_context io(1);
   gw::ServiceGateway gateway(io, first.services, RandomSeed());
-  std::unique_ptr<gw::FileWatch> watch;
+  std::unique_ptr<gw::FileWatcher> watch;
   std::function<void()> reload;
   const auto follow = [&](const config::Services& services) {
     if (services.watch == (watch != nullptr)) return;
-    watch = services.watch ? std::make_unique<gw::FileWatch>(io, path, [&] { reload(); }) : nullptr;
+    watch = services.watch ? std::make_unique<gw::FileWatcher>(io, path, [&] { reload(); }) : nullptr;
   };
   reload = [&] {
     const auto next = config::LoadServices(path);
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -12,9 +12,9 @@
 
 #include "apps/run_loop.hpp"
 #include "base/clock.hpp"
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 #include "config/services.hpp"
-#include "membership/source.hpp"
+#include "membership/host_source.hpp"
 #include "xds/control.hpp"
 #include "xds/drain_file.hpp"
 #include "xds/operators.hpp"
@@ -98,31 +98,31 @@
   // Sources of pools whose definition stays are kept, those of others begin anew.
   void Follow(const config::Services& services) {
     std::map<std::string, Followed> next;
-    std::vector<gw::Source*> begin;
+    std::vector<gw::HostSource*> begin;
     for (const config::Pool& pool : services.pools) {
       const auto found = sources_.find(pool.id);
       if (found != sources_.end() && found->second.definition == pool.definition) {
         next[pool.id] = std::move(found->second);
-        next[pool.id].source->Change(pool.membership.hosts);
+        next[pool.id].source->SetStaticHosts(pool.membership.hosts);
         continue;
       }
-      gw::Source::Handlers handlers{
+      gw::HostSource::Handlers handlers{
           [this, id = pool.id](const gw::HostList& list) {
             server_->With([&](xds::Hub&, Millis now) { return control_->Told(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
       Followed& to = next[pool.id];
       to.definition = pool.definition;
-      to.source = gw::MakeSource(io_, pool.membership, std::move(handlers));
+      to.source = gw::MakeHostSource(io_, pool.membership, std::move(handlers));
       begin.push_back(to.source.get());
     }
     sources_ = std::move(next);
-    for (gw::Source* const source : begin) source->Start();
+    for (gw::HostSource* const source : begin) source->Start();
   }
 
   struct Followed {
     std::string definition;
-    std::unique_ptr<gw::Source> source;
+    std::unique_ptr<gw::HostSource> source;
   };
 
   asio::io_context& io_;
@@ -139,7 +139,7 @@
   if (!first.services) return Print(first.issues, stderr), kFailed;
   asio::io_context io(1);
   Running running(io, first.services);
-  std::unique_ptr<gw::FileWatch> watch;
+  std::unique_ptr<gw::FileWatcher> watch;
   const auto reload = [&] {
     const auto next = config::LoadServices(path);
     if (!next.services) {
@@ -149,7 +149,7 @@
     running.Reload(next.services);
     Say("reloaded " + path);
   };
-  if (first.services->watch) watch = std::make_unique<gw::FileWatch>(io, path, reload);
+  if (first.services->watch) watch = std::make_unique<gw::FileWatcher>(io, path, reload);
   const std::string& address = first.services->control.address;
   Say("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(running.port()));
   RunLoop(
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -20,7 +20,7 @@
 }
 
 // A span for asio's timers, which take no fractions.
-inline std::chrono::microseconds Span(Millis ms) {
+inline std::chrono::microseconds ToDuration(Millis ms) {
   return std::chrono::microseconds(ms > 0 ? static_cast<std::int64_t>(ms * 1000) : 0);
 }
 
--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -24,7 +24,7 @@
   return tcp::endpoint(address, port);
 }
 
-std::string ToText(const tcp::endpoint& address) {
+std::string FormatEndpoint(const tcp::endpoint& address) {
   std::ostringstream text;
   text << address;
   return text.str();
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -12,7 +12,7 @@
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text);
 
 // The same form.
-std::string ToText(const boost::asio::ip::tcp::endpoint& address);
+std::string FormatEndpoint(const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace opalswitch::gateway
 
--- a/src/base/file_watch.cpp
+++ b/src/base/file_watcher.cpp
@@ -1,4 +1,4 @@
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 
 #include <sys/inotify.h>
 #include <sys/stat.h>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-FileWatch::FileWatch(boost::asio::io_context& io, std::string path, std::function<void()> changed)
+FileWatcher::FileWatcher(boost::asio::io_context& io, std::string path, std::function<void()> changed)
     : path_(std::move(path)), changed_(std::move(changed)), events_(io), poll_(io), seen_(Look()) {
   const int descriptor = inotify_init1(IN_NONBLOCK | IN_CLOEXEC);
   if (descriptor >= 0) {
@@ -31,23 +31,23 @@
   Poll();
 }
 
-FileWatch::~FileWatch() = default;
+FileWatcher::~FileWatcher() = default;
 
-FileWatch::Mark FileWatch::Look() const {
+FileWatcher::Mark FileWatcher::Look() const {
   struct stat status {};
   if (::stat(path_.c_str(), &status) != 0) return {};
   return {static_cast<long long>(status.st_dev), static_cast<long long>(status.st_ino), status.st_size,
           status.st_mtim.tv_sec, status.st_mtim.tv_nsec};
 }
 
-void FileWatch::Check() {
+void FileWatcher::Check() {
   const Mark now = Look();
   if (now == seen_) return;
   seen_ = now;
   changed_();
 }
 
-void FileWatch::Wait() {
+void FileWatcher::Wait() {
   events_.async_read_some(boost::asio::buffer(buffer_),
                           [this, alive = std::weak_ptr(alive_)](error_code ec, std::size_t) {
                             if (ec || alive.expired()) return;
@@ -56,8 +56,8 @@
                           });
 }
 
-void FileWatch::Poll() {
-  poll_.expires_after(Span(kPollEvery));
+void FileWatcher::Poll() {
+  poll_.expires_after(ToDuration(kPollEvery));
   poll_.async_wait([this, alive = std::weak_ptr(alive_)](error_code ec) {
     if (ec || alive.expired()) return;
     Check();
--- a/src/base/file_watch.hpp
+++ b/src/base/file_watcher.hpp
@@ -1,7 +1,7 @@
 // Tells when a file may have changed: its folder is watched, so that a file which is replaced by renaming
 // another over it (or whose symbolic link is turned) is followed like one that is written in place.
-#ifndef OPALSWITCH_BASE_FILE_WATCH_HPP_
-#define OPALSWITCH_BASE_FILE_WATCH_HPP_
+#ifndef OPALSWITCH_BASE_FILE_WATCHER_HPP_
+#define OPALSWITCH_BASE_FILE_WATCHER_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -13,14 +13,14 @@
 
 namespace opalswitch::gateway {
 
-class FileWatch {
+class FileWatcher {
  public:
   // `changed` is called from the loop, never from the constructor. inotify tells at once; where it can't
   // (some network file systems, no more watches to be had), a look every half second does.
-  FileWatch(boost::asio::io_context& io, std::string path, std::function<void()> changed);
-  ~FileWatch();
-  FileWatch(const FileWatch&) = delete;
-  FileWatch& operator=(const FileWatch&) = delete;
+  FileWatcher(boost::asio::io_context& io, std::string path, std::function<void()> changed);
+  ~FileWatcher();
+  FileWatcher(const FileWatcher&) = delete;
+  FileWatcher& operator=(const FileWatcher&) = delete;
 
  private:
   // What stat tells of the file: a changed one differs in some part.
@@ -44,4 +44,4 @@
 
 }  // namespace opalswitch::gateway
 
-#endif  // OPALSWITCH_BASE_FILE_WATCH_HPP_
+#endif  // OPALSWITCH_BASE_FILE_WATCHER_HPP_
--- a/src/base/http_types.hpp
+++ b/src/base/http_types.hpp
@@ -18,16 +18,18 @@
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
 // Beast's own view as the standard's; valid for as long as the message.
-inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 // A Retry-After of whole seconds, rounded up: RFC 9110 10.2.3 knows no parts of them.
-inline std::string WholeSeconds(double ms) { return std::to_string(static_cast<long>(std::ceil(ms / 1000))); }
+inline std::string FormatRetryAfterSeconds(double ms) {
+  return std::to_string(static_cast<long>(std::ceil(ms / 1000)));
+}
 
 // In answers of the gateway's own, refusals and failures: why, in one word.
-constexpr char kCauseField[] = "Forkwick-Cause";
+constexpr char kCauseHeader[] = "Forkwick-Cause";
 
-constexpr std::uint64_t kMostBody = 64 * 1024;
-constexpr std::uint32_t kMostHeader = 16 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = 64 * 1024;
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
 // Whether a field concerns one connection alone, and so must not be passed on. Framing is set anew.
 inline bool IsHopByHop(boost::beast::http::field name) {
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -231,7 +231,7 @@
       Fields h(*tables[i], f.PathOf("host[" + std::to_string(i) + "]"), issues_);
       gateway::Host host;
       host.address = h.Need("address", h.Address("address"), "the host's IP address and port");
-      const std::string address = gateway::ToText(host.address);
+      const std::string address = gateway::FormatEndpoint(host.address);
       host.server.id = h.Name("id").value_or(address);
       host.server.zone = h.Text("zone").value_or("");
       host.server.kind = h.Text("kind").value_or("");
--- a/src/gateway/call.hpp
+++ b/src/gateway/call.hpp
@@ -33,7 +33,7 @@
   Millis received = 0;                       // when its last byte was read
   Millis allowed = 0;                        // how long the client waits, from when it sent it
   Millis cost = 0;                           // the client's guess at the work; 0 = none
-  std::uint64_t most_body = kMostBody;       // bytes of body that its pool takes
+  std::uint64_t most_body = kMaxBodyBytes;   // bytes of body that its pool takes
   std::function<void(HttpResponse)> answer;  // to be called once; what follows is dropped
   std::shared_ptr<Pool> pool;                // which is to serve it
   // Asks for room for a body of so many bytes, once, before it is read; null if it is never refused.
--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -30,8 +30,8 @@
       1, static_cast<std::size_t>(static_cast<double>(Usable(configured)) * kHostShare));
 }
 
-ClientLimits LimitsFor(std::size_t configured, double memory_mb) {
-  ClientLimits limits;
+HttpServerLimits LimitsFor(std::size_t configured, double memory_mb) {
+  HttpServerLimits limits;
   const std::size_t usable = Usable(configured), hosts = HostSockets(configured);
   limits.sessions = usable > hosts ? usable - hosts : 1;
   limits.usual = static_cast<std::size_t>(static_cast<double>(configured) * kUsualShare);
--- a/src/gateway/descriptors.hpp
+++ b/src/gateway/descriptors.hpp
@@ -4,7 +4,7 @@
 
 #include <cstddef>
 
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 
 namespace opalswitch::gateway {
 
@@ -12,7 +12,7 @@
 std::size_t HostSockets(std::size_t configured);
 
 // What is left for clients, and the memory for their bodies.
-ClientLimits LimitsFor(std::size_t configured, double memory_mb);
+HttpServerLimits LimitsFor(std::size_t configured, double memory_mb);
 
 }  // namespace opalswitch::gateway
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,7 +7,7 @@
 
 #include "base/clock.hpp"
 #include "gateway/descriptors.hpp"
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 
 namespace opalswitch::gateway {
 namespace {
@@ -37,21 +37,22 @@
                  {[this](const HostList& list) { pool_->Told(list); }, [this] { ListFailed(); },
                   [](const std::string& line) { std::fprintf(stderr, "forkwick: %s\n", line.c_str()); }},
                  config.seed),
-      clients_(io, LimitsFor(config.sockets, config.memory_mb),
-               {[this] { return pool_->listed() && !stop_.begun(); },
-                [this, classes = PlatformClasses(config.settings)](
-                    const HttpRequest& head, const routing::Target& target, const Origin&, Call& call) {
-                  call.pool = pool_;
-                  return CheckPlatformCall(classes, head, target, call);
-                }},
-               "/up"),
+      clients_(
+          io, LimitsFor(config.sockets, config.memory_mb),
+          {[this] { return pool_->listed() && !stop_.begun(); },
+           [this, classes = PlatformClasses(config.settings)](
+               const HttpRequest& head, const routing::Target& target, const RequestOrigin&, Call& call) {
+             call.pool = pool_;
+             return ReadPlatformRequest(classes, head, target, call);
+           }},
+          "/up"),
       stop_(io, clients_, [this] { pool_->FailRest(); }) {
   clients_.Listen("", config.listen);
   pool_->Told(config.known);
   if (!settings_.requires_watch) discovery_.Watch();
 }
 
-void Gateway::Reload(const Config& config) { discovery_.Move(config.discovery); }
+void Gateway::Reload(const Config& config) { discovery_.SetAddress(config.discovery); }
 
 void Gateway::ListFailed() {
   pool_->ListFailed();
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -10,7 +10,7 @@
 #include "config/platform_config.hpp"
 #include "gateway/pool.hpp"
 #include "gateway/stop_sequence.hpp"
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 #include "membership/discovery.hpp"
 #include "opalswitch/policy.hpp"
 
@@ -36,7 +36,7 @@
   const Settings settings_;
   const std::shared_ptr<Pool> pool_;
   Discovery discovery_;
-  ClientServer clients_;
+  HttpServer clients_;
   StopSequence stop_;
 };
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -110,7 +110,7 @@
   const Millis gives_up = request.received + request.allowed;
   const Millis margin = std::min(kMargin, kMarginPart * request.allowed);
   flow.leaves_at = gives_up - margin;
-  flow.overdue.expires_after(Span(gives_up - kLastPart * margin - Now()));
+  flow.overdue.expires_after(ToDuration(gives_up - kLastPart * margin - Now()));
   flow.overdue.async_wait([weak = weak_from_this(), id = request.id](error_code ec) {
     const auto self = weak.lock();
     if (!ec && self) self->Overdue(id);
@@ -210,7 +210,7 @@
   if (flow == nullptr) return;
   HttpResponse response(http::status::service_unavailable, 11);
   response.set(http::field::retry_after,
-               options_.plain ? WholeSeconds(refuse.retry_after) : Seconds(refuse.retry_after));
+               options_.plain ? FormatRetryAfterSeconds(refuse.retry_after) : Seconds(refuse.retry_after));
   Decline(*flow, ledger::Fate::kRefused, std::move(response), CauseName(refuse.cause));
   Settle(refuse.request);
 }
@@ -236,7 +236,7 @@
 }
 
 void Pool::Do(const SetTimer& timer) {
-  const auto wait = std::make_shared<asio::steady_timer>(io_, Span(timer.delay));
+  const auto wait = std::make_shared<asio::steady_timer>(io_, ToDuration(timer.delay));
   wait->async_wait([weak = weak_from_this(), wait, name = timer.name](error_code ec) {
     const auto self = weak.lock();
     if (ec || !self) return;
@@ -258,7 +258,7 @@
 void Pool::Decline(Flow& flow, ledger::Fate fate, HttpResponse response, std::string_view cause) {
   if (flow.answered) return;
   Ended(flow, fate, cause);
-  response.set(kCauseField, boost::beast::string_view(cause.data(), cause.size()));
+  response.set(kCauseHeader, boost::beast::string_view(cause.data(), cause.size()));
   Answer(flow, std::move(response));
 }
 
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -10,7 +10,7 @@
 #include "base/clock.hpp"
 #include "config/units.hpp"
 #include "gateway/descriptors.hpp"
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 #include "routing/route_table.hpp"
 
 namespace opalswitch::gateway {
@@ -29,8 +29,8 @@
 void Say(const std::string& text) { std::fprintf(stderr, "forkwick: %s\n", text.c_str()); }
 
 // Idle connections are closed for want of places alone: no front counts them here, as the platform's does.
-ClientLimits LimitsOf(const config::Services& services) {
-  ClientLimits limits = LimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
+HttpServerLimits LimitsOf(const config::Services& services) {
+  HttpServerLimits limits = LimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
   limits.usual = limits.sessions;
   return limits;
 }
@@ -64,7 +64,7 @@
   const std::shared_ptr<limits::Pacer> pacer;
   limits::SharedBudget::Party descriptors = 0, places = 0, bodies = 0;
   std::shared_ptr<Pool> pool;
-  std::unique_ptr<Source> source;
+  std::unique_ptr<HostSource> source;
   bool retired = false;
 };
 
@@ -100,7 +100,7 @@
                   return snapshot_ && !stop_.begun() &&
                          std::any_of(snapshot_->members.begin(), snapshot_->members.end(), listed);
                 },
-                [this](const HttpRequest& head, const routing::Target& target, const Origin& origin,
+                [this](const HttpRequest& head, const routing::Target& target, const RequestOrigin& origin,
                        Call& call) { return Admit(head, target, origin, call); },
                 [this] { return snapshot_->services->tell_cause; }},
                services->health_path),
@@ -108,7 +108,7 @@
         for (const auto& member : snapshot_->members) member->pool->FailRest();
         for (const auto& member : retiring_) member->pool->FailRest();
       }) {
-  const ClientLimits limits = LimitsOf(*services);
+  const HttpServerLimits limits = LimitsOf(*services);
   places_.Resize(std::max<std::uint64_t>(
       1, static_cast<std::uint64_t>(static_cast<double>(limits.sessions) * kPlacesPart)));
   bodies_.Resize(limits.body_bytes);
@@ -162,10 +162,10 @@
 // Has the pool told of its hosts, from now on.
 void ServiceGateway::Begin(Member& member, const config::Pool& from) {
   Member* const to = &member;  // it outlives its source, which it holds
-  Source::Handlers handlers{[this, to](const HostList& list) { Told(*to, list); },
-                            [to] { to->pool->ListFailed(); },
-                            [to](const std::string& text) { Say("pool " + to->id + ": " + text); }};
-  member.source = MakeSource(io_, from.membership, std::move(handlers));
+  HostSource::Handlers handlers{[this, to](const HostList& list) { Told(*to, list); },
+                                [to] { to->pool->ListFailed(); },
+                                [to](const std::string& text) { Say("pool " + to->id + ": " + text); }};
+  member.source = MakeHostSource(io_, from.membership, std::move(handlers));
   member.source->Start();
 }
 
@@ -238,13 +238,13 @@
   Share(*next);
   for (std::size_t i = 0; i < next->members.size(); ++i) {
     Member& member = *next->members[i];
-    if (member.source) member.source->Change(services->pools[i].membership.hosts);
+    if (member.source) member.source->SetStaticHosts(services->pools[i].membership.hosts);
   }
   for (const auto& [member, pool] : made) {
     // A discovery service takes a moment to answer: until then the hosts are those that the old pool knew.
     const auto found = running.find(member->id);
     if (found != running.end() && pool->membership.source == config::Membership::Source::kDiscovery) {
-      const HostList known = nodes_.ViewOf(found->second->number);
+      const HostList known = nodes_.HostsOf(found->second->number);
       if (!known.hosts.empty()) Told(*member, known);
     }
     Begin(*member, *pool);
@@ -269,9 +269,9 @@
 
 void ServiceGateway::Told(Member& member, const HostList& list) {
   const auto known = nodes_.drains();
-  const auto news = nodes_.Told(member.number, list, Now());
+  const auto news = nodes_.ApplyUpdate(member.number, list, Now());
   const auto give = [&](const std::shared_ptr<Member>& to, const HostList& told) { to->pool->Told(told); };
-  for (const NodeRegistry::News& item : news) {
+  for (const NodeRegistry::PoolUpdate& item : news) {
     if (item.pool == member.number) {
       member.pool->Told(item.list);
       continue;
@@ -312,7 +312,7 @@
     sweeping_ = false;
     retiring_.remove_if([this](const std::shared_ptr<Member>& member) {
       if (member->pool->open() > 0 || member->gate.held() > 0) return false;
-      nodes_.Forget(member->number);
+      nodes_.RemovePool(member->number);
       descriptors_.Leave(member->descriptors);
       places_.Leave(member->places);
       bodies_.Leave(member->bodies);
@@ -322,7 +322,7 @@
 }
 
 std::optional<Fault> ServiceGateway::Admit(const HttpRequest& head, const routing::Target& target,
-                                           const Origin& origin, Call& call) {
+                                           const RequestOrigin& origin, Call& call) {
   const auto fault = [](http::status status, std::string text) {
     Fault f{status, std::move(text)};
     f.keep_connection = true;
@@ -339,13 +339,13 @@
   }
   if (head.count("Idempotency-Key") > 1)
     return fault(http::status::bad_request, "Idempotency-Key is repeated");
-  routing::Request request{target.authority.host, target.path, View(head.method_string()),
-                           names.class_name.empty() ? std::string_view() : View(head[names.class_name]),
-                           origin.listener};
+  routing::Request request{
+      target.authority.host, target.path, ToStringView(head.method_string()),
+      names.class_name.empty() ? std::string_view() : ToStringView(head[names.class_name]), origin.listener};
   for (const std::string& name : services.table.header_names()) {
     const auto count = head.count(name);
     if (count > 1) return fault(http::status::bad_request, name + " is repeated");
-    if (count == 1) request.headers.push_back({name, View(head[name])});
+    if (count == 1) request.headers.push_back({name, ToStringView(head[name])});
   }
   const auto match = services.table.Match(request);
   for (const std::string& reading : routing::HostReadings(target.path)) {
@@ -375,7 +375,7 @@
   const config::Services& services = *snapshot_->services;
   const config::RequestHeaders& names = services.headers;
   const auto field = [&](const std::string& name) {
-    return name.empty() ? std::string() : std::string(View(head[name]));
+    return name.empty() ? std::string() : std::string(ToStringView(head[name]));
   };
   const config::ServiceClass* cls = nullptr;
   if (rule.class_index >= 0) {
@@ -387,7 +387,7 @@
     }
     if (cls == nullptr) return fault(http::status::bad_request, names.class_name + " names no class");
   }
-  const std::string method(View(head.method_string()));
+  const std::string method(ToStringView(head.method_string()));
   if (!cls->methods.empty() &&
       std::find(cls->methods.begin(), cls->methods.end(), method) == cls->methods.end()) {
     return fault(http::status::method_not_allowed, "class " + cls->settings.name + " takes another method",
@@ -410,7 +410,8 @@
     call.allowed = std::min(call.allowed, *deadline);
   }
   call.id = field(names.id);
-  if (call.id.size() > kMostId) return fault(http::status::bad_request, names.id + " is too long");
+  if (call.id.size() > kMaxRequestIdLength)
+    return fault(http::status::bad_request, names.id + " is too long");
   if (call.id.empty()) {
     char id[40];
     std::snprintf(id, sizeof id, "%016llx-%llx", static_cast<unsigned long long>(seed_),
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -17,11 +17,11 @@
 #include "gateway/call.hpp"
 #include "gateway/pool.hpp"
 #include "gateway/stop_sequence.hpp"
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 #include "limits/pool_gate.hpp"
 #include "limits/shared_budget.hpp"
+#include "membership/host_source.hpp"
 #include "membership/node_registry.hpp"
-#include "membership/source.hpp"
 #include "routing/target.hpp"
 
 namespace opalswitch::gateway {
@@ -61,8 +61,8 @@
     std::vector<std::shared_ptr<Member>> members;  // as services->pools
   };
 
-  std::optional<Fault> Admit(const HttpRequest& head, const routing::Target& target, const Origin& origin,
-                             Call& call);
+  std::optional<Fault> Admit(const HttpRequest& head, const routing::Target& target,
+                             const RequestOrigin& origin, Call& call);
   std::optional<Fault> Describe(const HttpRequest& head, const config::RouteRule& rule,
                                 const config::Pool& pool, Call& call);
   std::optional<Fault> Enter(const std::shared_ptr<Member>& member, Call& call);
@@ -84,7 +84,7 @@
   std::shared_ptr<const Snapshot> snapshot_;
   std::list<std::shared_ptr<Member>> retiring_;
   bool sweeping_ = false;
-  ClientServer clients_;
+  HttpServer clients_;
   StopSequence stop_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
--- a/src/gateway/stop_sequence.cpp
+++ b/src/gateway/stop_sequence.cpp
@@ -26,13 +26,12 @@
   return times;
 }
 
-StopSequence::StopSequence(boost::asio::io_context& io, ClientServer& clients,
-                           std::function<void()> fail_rest)
+StopSequence::StopSequence(boost::asio::io_context& io, HttpServer& clients, std::function<void()> fail_rest)
     : clients_(clients), fail_rest_(std::move(fail_rest)), timer_(io) {}
 
 template <typename Next>
 void StopSequence::After(Millis wait, Next next) {
-  timer_.expires_after(Span(wait));
+  timer_.expires_after(ToDuration(wait));
   timer_.async_wait([next = std::move(next)](boost::system::error_code ec) {
     if (!ec) next();
   });
--- a/src/gateway/stop_sequence.hpp
+++ b/src/gateway/stop_sequence.hpp
@@ -6,7 +6,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 #include "opalswitch/policy.hpp"
 
 namespace opalswitch::gateway {
@@ -26,7 +26,7 @@
 class StopSequence {
  public:
   // `fail_rest` answers all that is not answered yet.
-  StopSequence(boost::asio::io_context& io, ClientServer& clients, std::function<void()> fail_rest);
+  StopSequence(boost::asio::io_context& io, HttpServer& clients, std::function<void()> fail_rest);
 
   bool begun() const { return begun_; }
   // Calls `done` at the end. Once begun it goes its way: a second call does nothing.
@@ -36,7 +36,7 @@
   template <typename Next>
   void After(Millis wait, Next next);
 
-  ClientServer& clients_;
+  HttpServer& clients_;
   const std::function<void()> fail_rest_;
   boost::asio::steady_timer timer_;
   bool begun_ = false;
--- a/src/http/client_server.cpp
+++ b/src/http/http_server.cpp
@@ -1,4 +1,4 @@
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -40,9 +40,9 @@
 
 // One connection of a client, one request at a time: what comes before the last one is answered stays in the
 // socket, or in the head's buffer, and waits its turn. A client that leaves while it waits is noticed.
-class ClientServer::Session : public std::enable_shared_from_this<Session> {
+class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(ClientServer& server, std::string listener, tcp::socket socket)
+  Session(HttpServer& server, std::string listener, tcp::socket socket)
       : server_(server), socket_(std::move(socket)) {
     origin_.listener = std::move(listener);
     error_code ec;
@@ -88,7 +88,7 @@
 
   // Ends what has stood still for too long.
   void Sweep(Millis now) {
-    const ClientLimits& limits = server_.limits_;
+    const HttpServerLimits& limits = server_.limits_;
     if (phase_ == Phase::kReading) {
       if (Begun() && begun_at_ == 0) begun_at_ = answered_ == 0 ? since_ : now;
       if (begun_at_ > 0 && now - begun_at_ > limits.whole_request) {
@@ -115,7 +115,7 @@
   void ReadHead() {
     parser_.emplace();
     parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // its head decides
-    parser_->header_limit(kMostHeader);
+    parser_->header_limit(kMaxHeaderBytes);
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](error_code ec, std::size_t) {
                               if (self->phase_ == Phase::kReading) self->HeadRead(ec);
@@ -124,7 +124,7 @@
 
   // Meanwhile what the client sends waits in its socket.
   void ReadAfter(Millis pause) {
-    const auto timer = std::make_shared<asio::steady_timer>(server_.io_, Span(pause));
+    const auto timer = std::make_shared<asio::steady_timer>(server_.io_, ToDuration(pause));
     timer->async_wait([self = shared_from_this(), timer, turn = turn_](error_code) {
       if (self->phase_ == Phase::kReading && self->turn_ == turn) self->ReadHead();
     });
@@ -134,7 +134,7 @@
   void HeadRead(error_code ec) {
     if (ec) return Unreadable(ec);
     const HttpRequest& head = parser_->get();
-    if (const auto fault = ReadMessage(head, target_)) return Refuse(*fault);
+    if (const auto fault = ValidateMessage(head, target_)) return Refuse(*fault);
     Call& call = call_.emplace();
     health_ = !server_.health_.empty() && target_.path == server_.health_ && head.method() == http::verb::get;
     if (!health_) {
@@ -182,7 +182,7 @@
       const bool ready = server_.handlers_.ready();
       return Answer(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11));
     }
-    Settle(http, target_);
+    NormalizeRequest(http, target_);
     head_ = http.method() == http::verb::head;
     Call& call = *call_;
     call.http = std::move(http);
@@ -232,9 +232,9 @@
     response.set(http::field::content_type, "text/plain");
     if (!fault.allow.empty()) response.set(http::field::allow, fault.allow);
     if (fault.retry_after > 0) {
-      response.set(http::field::retry_after, WholeSeconds(fault.retry_after));
+      response.set(http::field::retry_after, FormatRetryAfterSeconds(fault.retry_after));
     }
-    if (!fault.cause.empty()) response.set(kCauseField, fault.cause);
+    if (!fault.cause.empty()) response.set(kCauseHeader, fault.cause);
     response.body() = fault.text + "\n";
     return response;
   }
@@ -245,8 +245,8 @@
     pool_.reset();
     response_ = std::move(response);
     turned_away_ = response_.result_int() == 429 || response_.result_int() >= 500;
-    if (turned_away_ && server_.handlers_.tell_cause && !server_.handlers_.tell_cause()) {
-      response_.erase(kCauseField);
+    if (turned_away_ && server_.handlers_.reports_cause && !server_.handlers_.reports_cause()) {
+      response_.erase(kCauseHeader);
     }
     const bool may_stay = response_.keep_alive();
     response_.version(version_);
@@ -325,12 +325,12 @@
     call_.reset();
   }
 
-  ClientServer& server_;
+  HttpServer& server_;
   tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kMostBuffer};
   std::optional<http::request_parser<http::string_body>> parser_;
   HttpResponse response_;
-  Origin origin_;
+  RequestOrigin origin_;
   routing::Target target_;                // of the request that is being read
   std::optional<Call> call_;              // the same, from its head until it is taken
   bool health_ = false;                   // it asks for this gateway's own health
@@ -351,7 +351,7 @@
 };
 
 // One address that clients connect to.
-struct ClientServer::Door {
+struct HttpServer::Door {
   Door(asio::io_context& io, std::string name, const tcp::endpoint& address)
       : id(std::move(name)), asked(address), acceptor(io), again(io) {}
   std::string id;
@@ -361,15 +361,15 @@
   bool accepting = false;
 };
 
-ClientServer::ClientServer(asio::io_context& io, const ClientLimits& limits, Handlers handlers,
-                           std::string health)
+HttpServer::HttpServer(asio::io_context& io, const HttpServerLimits& limits, Handlers handlers,
+                       std::string health)
     : io_(io), limits_(limits), handlers_(std::move(handlers)), health_(std::move(health)), sweep_(io) {
   Sweep();
 }
 
-ClientServer::~ClientServer() = default;
+HttpServer::~HttpServer() = default;
 
-tcp::endpoint ClientServer::Listen(const std::string& id, const tcp::endpoint& address) {
+tcp::endpoint HttpServer::Listen(const std::string& id, const tcp::endpoint& address) {
   const auto door = std::make_shared<Door>(io_, id, address);
   door->acceptor.open(address.protocol());
   door->acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -381,14 +381,14 @@
   return door->acceptor.local_endpoint();
 }
 
-tcp::endpoint ClientServer::address(const std::string& id) const {
+tcp::endpoint HttpServer::address(const std::string& id) const {
   for (const auto& door : doors_) {
     if (door->id == id) return door->acceptor.local_endpoint();
   }
   return {};
 }
 
-void ClientServer::Accept(const std::shared_ptr<Door>& door) {
+void HttpServer::Accept(const std::shared_ptr<Door>& door) {
   if (door->accepting || !door->acceptor.is_open()) return;
   door->accepting = true;
   door->acceptor.async_accept([this, door](error_code ec, tcp::socket socket) {
@@ -401,27 +401,27 @@
       return;
     }
     if (ec == asio::error::no_descriptors) Evict();
-    door->again.expires_after(Span(kAcceptAgain));  // at once would spin
+    door->again.expires_after(ToDuration(kAcceptAgain));  // at once would spin
     door->again.async_wait([this, door](error_code wait_ec) {
       if (!wait_ec && door->acceptor.is_open()) Accept(door);
     });
   });
 }
 
-void ClientServer::Accepted(const Door& door, tcp::socket socket) {
+void HttpServer::Accepted(const Door& door, tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, door.id, std::move(socket));
   sessions_.insert(session);
   session->Begin();
 }
 
-void ClientServer::Closed(const std::shared_ptr<Session>& session) {
+void HttpServer::Closed(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
   if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
   if (Full()) return;
   for (const auto& door : doors_) Accept(door);
 }
 
-bool ClientServer::Waiting() const {
+bool HttpServer::Waiting() const {
   return Full() && std::any_of(doors_.begin(), doors_.end(),
                                [](const auto& door) { return !door->accepting && door->acceptor.is_open(); });
 }
@@ -429,11 +429,11 @@
 // Connections that clients keep after a request and don't use again count against what they may open: past
 // `usual` they shut further clients out, long before places run out here. In a stop the kept ones are all
 // that clients have left.
-bool ClientServer::Crowded() const { return sessions_.size() > limits_.usual && handlers_.ready(); }
+bool HttpServer::Crowded() const { return sessions_.size() > limits_.usual && handlers_.ready(); }
 
 // Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
 // there is still room none is closed that has begun a request, or is about to.
-bool ClientServer::Evict(bool idle_only) {
+bool HttpServer::Evict(bool idle_only) {
   const Millis now = Now();
   std::shared_ptr<Session> worst;
   std::pair<Standing, Millis> least;
@@ -448,23 +448,23 @@
   return worst != nullptr;
 }
 
-bool ClientServer::Reserve(std::uint64_t bytes, std::size_t& held) {
+bool HttpServer::Reserve(std::uint64_t bytes, std::size_t& held) {
   if (reserved_ + bytes > limits_.body_bytes) return false;
   held += bytes;
   reserved_ += bytes;
   return true;
 }
 
-void ClientServer::Sweep() {
+void HttpServer::Sweep() {
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) session->Sweep(Now());
-  sweep_.expires_after(Span(kSweepEvery));
+  sweep_.expires_after(ToDuration(kSweepEvery));
   sweep_.async_wait([this](error_code ec) {
     if (!ec) Sweep();
   });
 }
 
-void ClientServer::Close(Door& door) {
+void HttpServer::Close(Door& door) {
   // Whoever stands in the queue has connected, and may have sent a request: to close on it would lose that.
   for (error_code ec; !Full();) {
     tcp::socket socket = door.acceptor.accept(ec);
@@ -476,7 +476,7 @@
   door.again.cancel();
 }
 
-void ClientServer::Unlisten(const std::string& id, const tcp::endpoint& asked) {
+void HttpServer::Unlisten(const std::string& id, const tcp::endpoint& asked) {
   std::erase_if(doors_, [&](const auto& door) {
     if (door->id != id || door->asked != asked) return false;
     Close(*door);
@@ -484,11 +484,11 @@
   });
 }
 
-void ClientServer::StopListening() {
+void HttpServer::StopListening() {
   for (const auto& door : doors_) Close(*door);
 }
 
-void ClientServer::Drain(std::function<void()> done) {
+void HttpServer::Drain(std::function<void()> done) {
   draining_ = true;
   stopped_ = std::move(done);
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
--- a/src/http/client_server.hpp
+++ b/src/http/http_server.hpp
@@ -1,6 +1,6 @@
 // The side that clients see: the listener, /up, the parsing of requests, and the one answer to each.
-#ifndef OPALSWITCH_HTTP_CLIENT_SERVER_HPP_
-#define OPALSWITCH_HTTP_CLIENT_SERVER_HPP_
+#ifndef OPALSWITCH_HTTP_HTTP_SERVER_HPP_
+#define OPALSWITCH_HTTP_HTTP_SERVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -21,12 +21,12 @@
 namespace opalswitch::gateway {
 
 // Where a request came in.
-struct Origin {
+struct RequestOrigin {
   std::string listener;             // its id
   boost::asio::ip::address client;  // who connected
 };
 
-struct ClientLimits {
+struct HttpServerLimits {
   std::size_t sessions = 256;
   std::size_t usual = 256;              // past it each answer has the longest idle connection closed
   std::uint64_t body_bytes = 16 << 20;  // that requests may hold together
@@ -38,22 +38,23 @@
   Millis linger = 500;                  // a client that was told of the close gets this to close first
 };
 
-class ClientServer {
+class HttpServer {
  public:
   struct Handlers {
     std::function<bool()> ready;
     // Decides by its head what becomes of a request: fills in the call, all but its message, its time and its
     // answer, or gives the answer to one that goes no further.
-    std::function<std::optional<Fault>(const HttpRequest&, const routing::Target&, const Origin&, Call&)>
+    std::function<std::optional<Fault>(const HttpRequest&, const routing::Target&, const RequestOrigin&,
+                                       Call&)>
         admit;
     // Whether answers of the gateway's own say why; empty = they do.
-    std::function<bool()> tell_cause = nullptr;
+    std::function<bool()> reports_cause = nullptr;
   };
 
   // `health`: the path by which GET tells whether the gateway is ready; empty = none.
-  ClientServer(boost::asio::io_context& io, const ClientLimits& limits, Handlers handlers,
-               std::string health);
-  ~ClientServer();
+  HttpServer(boost::asio::io_context& io, const HttpServerLimits& limits, Handlers handlers,
+             std::string health);
+  ~HttpServer();
 
   // Listens at once, under a name. Throws boost::system::system_error if it can't.
   boost::asio::ip::tcp::endpoint Listen(const std::string& id, const boost::asio::ip::tcp::endpoint& address);
@@ -88,7 +89,7 @@
 
   boost::asio::io_context& io_;
   std::vector<std::shared_ptr<Door>> doors_;
-  const ClientLimits limits_;
+  const HttpServerLimits limits_;
   std::uint64_t reserved_ = 0;
   const Handlers handlers_;
   const std::string health_;
@@ -100,4 +101,4 @@
 
 }  // namespace opalswitch::gateway
 
-#endif  // OPALSWITCH_HTTP_CLIENT_SERVER_HPP_
+#endif  // OPALSWITCH_HTTP_HTTP_SERVER_HPP_
--- a/src/http/message_rules.cpp
+++ b/src/http/message_rules.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::optional<Fault> ReadMessage(const HttpRequest& head, routing::Target& target) {
+std::optional<Fault> ValidateMessage(const HttpRequest& head, routing::Target& target) {
   const auto bad = [](std::string text) { return Fault{http::status::bad_request, std::move(text)}; };
   if (FramingOf(head) == Framing::kAmbiguous) return bad("where the body ends is not clear");
   // RFC 9112 6.1: HTTP/1.0 knows no transfer codings, and a recipient of that version would read on by
@@ -34,9 +34,9 @@
     return bad("HTTP/1.0 has no transfer coding");
   }
   for (const auto& field : head) {
-    if (!IsFieldValue(View(field.value()))) return bad("a field holds a control character");
+    if (!IsFieldValue(ToStringView(field.value()))) return bad("a field holds a control character");
   }
-  const std::string_view method = View(head.method_string());
+  const std::string_view method = ToStringView(head.method_string());
   if (method == "CONNECT" || method == "TRACE") {
     return Fault{http::status::not_implemented, std::string(method) + " is not served"};
   }
@@ -44,9 +44,9 @@
   if (hosts > 1) return bad("Host is repeated");
   if (hosts == 0 && head.version() >= 11) return bad("Host is missing");
   std::string error;
-  auto read = routing::ReadTarget(method, View(head.target()), error);
+  auto read = routing::ReadTarget(method, ToStringView(head.target()), error);
   if (!read) return bad(error);
-  const auto host = routing::ReadAuthority(hosts > 0 ? View(head[http::field::host]) : "", error);
+  const auto host = routing::ReadAuthority(hosts > 0 ? ToStringView(head[http::field::host]) : "", error);
   if (!host) return bad("Host: " + error);
   // RFC 9112 3.2.2: the authority of an absolute target counts, and Host is ignored.
   if (read->form != routing::Form::kAbsolute) read->authority = *host;
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-void Settle(HttpRequest& http, const routing::Target& target) {
+void NormalizeRequest(HttpRequest& http, const routing::Target& target) {
   if (target.form == routing::Form::kAbsolute || http.count(http::field::host) == 0) {
     http.set(http::field::host, ToText(target.authority));  // HTTP/1.0 needs none, and a host does
   }
--- a/src/http/message_rules.hpp
+++ b/src/http/message_rules.hpp
@@ -15,10 +15,10 @@
 
 // Reads the target and the authority: that of an absolute target, else Host's. A message that breaks a rule,
 // or that two readers could take for two, gives the answer to it instead.
-std::optional<Fault> ReadMessage(const HttpRequest& head, routing::Target& target);
+std::optional<Fault> ValidateMessage(const HttpRequest& head, routing::Target& target);
 
 // Puts the message into the one form that goes on: origin form, normal path, and Host as `target` has it.
-void Settle(HttpRequest& http, const routing::Target& target);
+void NormalizeRequest(HttpRequest& http, const routing::Target& target);
 
 }  // namespace opalswitch::gateway
 
--- a/src/http/platform_call.cpp
+++ b/src/http/platform_request.cpp
@@ -1,4 +1,4 @@
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -40,14 +40,14 @@
   return good ? std::min(value / 1000, kMostAllowed) : 0;
 }
 
-Classes PlatformClasses(const Settings& settings) {
-  Classes classes;
+ClassEffects PlatformClasses(const Settings& settings) {
+  ClassEffects classes;
   for (const ClassSettings& c : settings.classes) classes[c.name] = c.effect;
   return classes;
 }
 
-std::optional<Fault> CheckPlatformCall(const Classes& classes, const HttpRequest& http,
-                                       const routing::Target& target, Call& call) {
+std::optional<Fault> ReadPlatformRequest(const ClassEffects& classes, const HttpRequest& http,
+                                         const routing::Target& target, Call& call) {
   const auto fault = [](http::status status, std::string text) { return Fault{status, std::move(text)}; };
   if (target.path != "/api" && !target.path.starts_with("/api/")) {
     return fault(http::status::not_found, "no such path");
@@ -60,7 +60,7 @@
     if (http.count(name) > 1) return fault(http::status::bad_request, std::string(name) + " is repeated");
   }
   call.id = Field(http, "Req-Id");
-  if (call.id.empty() || call.id.size() > kMostId) {
+  if (call.id.empty() || call.id.size() > kMaxRequestIdLength) {
     return fault(http::status::bad_request, "Req-Id is missing or too long");
   }
   call.class_name = Field(http, "Req-Kind");
--- a/src/http/platform_call.hpp
+++ b/src/http/platform_request.hpp
@@ -1,7 +1,7 @@
 // A client's request as the platform's protocol words it: its fields say what class, tenant and deadline it
 // has.
-#ifndef OPALSWITCH_HTTP_PLATFORM_CALL_HPP_
-#define OPALSWITCH_HTTP_PLATFORM_CALL_HPP_
+#ifndef OPALSWITCH_HTTP_PLATFORM_REQUEST_HPP_
+#define OPALSWITCH_HTTP_PLATFORM_REQUEST_HPP_
 
 #include <optional>
 #include <string>
@@ -15,12 +15,12 @@
 
 namespace opalswitch::gateway {
 
-using Classes = std::unordered_map<std::string, Effect>;
-Classes PlatformClasses(const Settings& settings);
+using ClassEffects = std::unordered_map<std::string, Effect>;
+ClassEffects PlatformClasses(const Settings& settings);
 
 // Fills in the call, or gives the answer to a request that breaks the protocol.
-std::optional<Fault> CheckPlatformCall(const Classes& classes, const HttpRequest& head,
-                                       const routing::Target& target, Call& call);
+std::optional<Fault> ReadPlatformRequest(const ClassEffects& classes, const HttpRequest& head,
+                                         const routing::Target& target, Call& call);
 
 // "480m" or "480000u": milliseconds. Longer ones are cut to ten minutes: timers must not overflow.
 std::optional<Millis> ParseDeadline(std::string_view text);
@@ -28,8 +28,8 @@
 // "12500", in microseconds, as milliseconds; 0 = no guess, or one that can't be read.
 Millis ParseCost(std::string_view text);
 
-constexpr std::size_t kMostId = 256;  // characters of a request's id
+constexpr std::size_t kMaxRequestIdLength = 256;  // characters of a request's id
 
 }  // namespace opalswitch::gateway
 
-#endif  // OPALSWITCH_HTTP_PLATFORM_CALL_HPP_
+#endif  // OPALSWITCH_HTTP_PLATFORM_REQUEST_HPP_
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -46,13 +46,13 @@
 }
 
 void Discovery::WatchLater() {
-  pause_.expires_after(Span(pace_.RetryGap(Uniform())));
+  pause_.expires_after(ToDuration(pace_.RetryGap(Uniform())));
   pause_.async_wait([this, alive = std::weak_ptr(alive_)](error_code ec) {
     if (!ec && !alive.expired()) Watch();
   });
 }
 
-void Discovery::Move(const tcp::endpoint& address) {
+void Discovery::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   pace_.Moved();
@@ -63,8 +63,8 @@
 }
 
 // The call has failed unless its next step comes within `time`.
-void Discovery::Allow(const std::shared_ptr<Call>& call, Millis time, WatchFault fault) {
-  call->timer.expires_after(Span(time));
+void Discovery::Allow(const std::shared_ptr<Call>& call, Millis time, WatchFailure fault) {
+  call->timer.expires_after(ToDuration(time));
   call->timer.async_wait([this, call, fault, alive = std::weak_ptr(alive_)](error_code ec) {
     if (!ec && !alive.expired()) Fail(call, fault);
   });
@@ -73,12 +73,12 @@
 void Discovery::Ask() {
   const auto call = call_ = std::make_shared<Call>(io_);
   if (socket_ != nullptr) return Connected(call);
-  Allow(call, pace_.times().dial, WatchFault::kDial);
+  Allow(call, pace_.times().dial, WatchFailure::kDial);
   socket_ = std::make_shared<tcp::socket>(io_);
   socket_->async_connect(address_,
                          [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec) {
                            if (alive.expired() || call != call_) return;
-                           if (ec) return Fail(call, WatchFault::kDial, ec.message());
+                           if (ec) return Fail(call, WatchFailure::kDial, ec.message());
                            Connected(call);
                          });
 }
@@ -87,13 +87,13 @@
   call->asked = Now();
   call->request.method(http::verb::get);
   call->request.target(pace_.Begin(Uniform()));
-  Allow(call, pace_.Patience(), WatchFault::kSilent);
+  Allow(call, pace_.Patience(), WatchFailure::kSilent);
   call->request.set(http::field::host, address_.address().to_string());
   http::async_write(
       *socket_, call->request,
       [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec, std::size_t) {
         if (alive.expired() || call != call_) return;
-        if (ec) return Fail(call, WatchFault::kEnded, ec.message());
+        if (ec) return Fail(call, WatchFailure::kEnded, ec.message());
         Read(call);
       });
 }
@@ -105,13 +105,13 @@
       [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec, std::size_t) {
         if (alive.expired() || call != call_) return;
         const bool begun = call->parser.got_some() || call->buffer.size() > 0;
-        if (ec) return Fail(call, begun ? WatchFault::kBroken : WatchFault::kEnded, ec.message());
+        if (ec) return Fail(call, begun ? WatchFailure::kBroken : WatchFailure::kEnded, ec.message());
         if (call->parser.is_done()) return Answered(call);
-        Allow(call, pace_.times().rest, WatchFault::kBroken);
+        Allow(call, pace_.times().rest, WatchFailure::kBroken);
         http::async_read(*socket, call->buffer, call->parser,
                          [this, call, socket, alive](error_code body_ec, std::size_t) {
                            if (alive.expired() || call != call_) return;
-                           body_ec ? Fail(call, WatchFault::kBroken, body_ec.message()) : Answered(call);
+                           body_ec ? Fail(call, WatchFailure::kBroken, body_ec.message()) : Answered(call);
                          });
       });
 }
@@ -119,37 +119,37 @@
 void Discovery::Answered(const std::shared_ptr<Call>& call) {
   const auto& answer = call->parser.get();
   if (answer.result() != http::status::ok) {
-    return Fail(call, WatchFault::kStatus, std::to_string(answer.result_int()));
+    return Fail(call, WatchFailure::kStatus, std::to_string(answer.result_int()));
   }
   auto list = ParseHostList(answer.body());
-  if (!list) return Fail(call, WatchFault::kUnreadable);
-  if (!pace_.Takes(*list)) return Fail(call, WatchFault::kOlder, std::to_string(list->revision));
+  if (!list) return Fail(call, WatchFailure::kUnreadable);
+  if (!pace_.Takes(*list)) return Fail(call, WatchFailure::kOlder, std::to_string(list->revision));
   call->timer.cancel();
   call_.reset();
   if (!answer.keep_alive()) socket_.reset();
   Note(pace_.Succeeded(Now() - call->asked, !list->hosts.empty()));
   const std::weak_ptr alive(alive_);
-  handlers_.told(std::move(*list));
+  handlers_.on_update(std::move(*list));
   if (alive.expired()) return;
   // A discovery that answers at once, as an agent with pushed lists does, must not be asked in a tight loop.
   pause_.expires_after(
-      Span(std::max(pace_.Pause(Uniform()), pace_.times().least_gap - (Now() - call->begun))));
+      ToDuration(std::max(pace_.Pause(Uniform()), pace_.times().least_gap - (Now() - call->begun))));
   pause_.async_wait([this, moves = moves_, alive = std::weak_ptr(alive_)](error_code ec) {
     if (!ec && !alive.expired() && moves == moves_) Ask();
   });
 }
 
-void Discovery::Fail(const std::shared_ptr<Call>& call, WatchFault fault, const std::string& detail) {
+void Discovery::Fail(const std::shared_ptr<Call>& call, WatchFailure fault, const std::string& detail) {
   if (call != call_) return;
   Drop();
   Note(pace_.Failed(fault, Now() - call->asked, detail));
   if (pace_.AgainAtOnce(fault)) return Ask();
   watching_ = false;
-  handlers_.failed();
+  handlers_.on_failure();
 }
 
 void Discovery::Note(const std::optional<std::string>& line) const {
-  if (line && handlers_.note) handlers_.note(*line);
+  if (line && handlers_.on_log) handlers_.on_log(*line);
 }
 
 // Ends the call and the connection; whatever of them is still on its way finds that it is not the current
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -13,16 +13,16 @@
 #include <string>
 
 #include "membership/host_list.hpp"
-#include "membership/watch_pace.hpp"
+#include "membership/watch_schedule.hpp"
 
 namespace opalswitch::gateway {
 
 class Discovery {
  public:
   struct Handlers {
-    std::function<void(HostList)> told;
-    std::function<void()> failed;                       // the watch has ended; Watch() begins a new one
-    std::function<void(const std::string&)> note = {};  // one line for the operators' log; may be empty
+    std::function<void(HostList)> on_update;
+    std::function<void()> on_failure;                     // the watch has ended; Watch() begins a new one
+    std::function<void(const std::string&)> on_log = {};  // one line for the operators' log; may be empty
   };
   Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
             std::optional<std::int64_t> revision, Handlers handlers, std::uint64_t seed,
@@ -34,7 +34,7 @@
   void WatchLater();
   // Discovery is elsewhere from now on: what the old one still says is dropped, and the whole list is asked
   // for.
-  void Move(const boost::asio::ip::tcp::endpoint& address);
+  void SetAddress(const boost::asio::ip::tcp::endpoint& address);
 
  private:
   struct Call;
@@ -43,14 +43,14 @@
   void Connected(const std::shared_ptr<Call>& call);
   void Answered(const std::shared_ptr<Call>& call);
   void Read(const std::shared_ptr<Call>& call);
-  void Allow(const std::shared_ptr<Call>& call, Millis time, WatchFault fault);
-  void Fail(const std::shared_ptr<Call>& call, WatchFault fault, const std::string& detail = "");
+  void Allow(const std::shared_ptr<Call>& call, Millis time, WatchFailure fault);
+  void Fail(const std::shared_ptr<Call>& call, WatchFailure fault, const std::string& detail = "");
   void Note(const std::optional<std::string>& line) const;
   void Drop();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  WatchPace pace_;
+  WatchSchedule pace_;
   std::mt19937_64 random_;  // spreads the calls of many gateways
   const Handlers handlers_;
   std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // kept between the calls of a watch
--- a/src/membership/source.cpp
+++ b/src/membership/host_source.cpp
@@ -1,4 +1,4 @@
-#include "membership/source.hpp"
+#include "membership/host_source.hpp"
 
 #include <nlohmann/json.hpp>
 #include <random>
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-std::unique_ptr<Source> MakeSource(boost::asio::io_context& io, const config::Membership& membership,
-                                   Source::Handlers handlers) {
+std::unique_ptr<HostSource> MakeHostSource(boost::asio::io_context& io, const config::Membership& membership,
+                                           HostSource::Handlers handlers) {
   switch (membership.source) {
     case config::Membership::Source::kFile:
       return std::make_unique<FileSource>(io, membership.file, std::move(handlers));
@@ -29,9 +29,9 @@
 StaticSource::StaticSource(std::vector<Host> hosts, Handlers handlers)
     : hosts_(std::move(hosts)), handlers_(std::move(handlers)) {}
 
-void StaticSource::Start() { handlers_.told({0, true, hosts_}); }
+void StaticSource::Start() { handlers_.on_update({0, true, hosts_}); }
 
-void StaticSource::Change(std::vector<Host> hosts) {
+void StaticSource::SetStaticHosts(std::vector<Host> hosts) {
   hosts_ = std::move(hosts);
   Start();
 }
@@ -65,7 +65,7 @@
     : io_(io), path_(std::move(path)), handlers_(std::move(handlers)) {}
 
 void FileSource::Start() {
-  watch_ = std::make_unique<FileWatch>(io_, path_, [this] { Read(); });
+  watch_ = std::make_unique<FileWatcher>(io_, path_, [this] { Read(); });
   Read();
 }
 
@@ -80,24 +80,24 @@
     list = ReadHostFile(text, error);
   }
   if (!list) {
-    handlers_.note(path_ + ": " + error +
-                   (told_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
-    return handlers_.failed();
+    handlers_.on_log(path_ + ": " + error +
+                     (told_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
+    return handlers_.on_failure();
   }
   told_ = std::move(text);
-  handlers_.told(*list);
+  handlers_.on_update(*list);
 }
 
 DiscoverySource::DiscoverySource(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                                  Handlers handlers)
     : handlers_(std::move(handlers)),
       discovery_(io, address, std::nullopt,
-                 {[this](const HostList& list) { handlers_.told(list); },
+                 {[this](const HostList& list) { handlers_.on_update(list); },
                   [this] {
                     discovery_.WatchLater();
-                    handlers_.failed();
+                    handlers_.on_failure();
                   },
-                  handlers_.note},
+                  handlers_.on_log},
                  std::random_device{}()) {}
 
 void DiscoverySource::Start() { discovery_.Watch(); }
--- a/src/membership/source.hpp
+++ b/src/membership/host_source.hpp
@@ -1,7 +1,7 @@
 // Where a pool's list of hosts comes from. One interface, whatever the source: the platform's discovery, the
 // operators' file itself, or a file that another program keeps.
-#ifndef OPALSWITCH_MEMBERSHIP_SOURCE_HPP_
-#define OPALSWITCH_MEMBERSHIP_SOURCE_HPP_
+#ifndef OPALSWITCH_MEMBERSHIP_HOST_SOURCE_HPP_
+#define OPALSWITCH_MEMBERSHIP_HOST_SOURCE_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -11,36 +11,36 @@
 #include <string>
 #include <vector>
 
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 #include "config/services.hpp"
 #include "membership/discovery.hpp"
 #include "membership/host_list.hpp"
 
 namespace opalswitch::gateway {
 
-class Source {
+class HostSource {
  public:
   struct Handlers {
-    std::function<void(const HostList&)> told;
-    std::function<void()> failed;                  // the last list stays valid
-    std::function<void(const std::string&)> note;  // one line for the operators' log
+    std::function<void(const HostList&)> on_update;
+    std::function<void()> on_failure;                // the last list stays valid
+    std::function<void(const std::string&)> on_log;  // one line for the operators' log
   };
-  virtual ~Source() = default;
+  virtual ~HostSource() = default;
   // Begins to tell; what is known at once is told before this returns.
   virtual void Start() = 0;
   // The operators' file lists these hosts now. Of no concern to sources that know theirs from elsewhere.
-  virtual void Change(std::vector<Host> /*hosts*/) {}
+  virtual void SetStaticHosts(std::vector<Host> /*hosts*/) {}
 };
 
 // The source that a pool's membership names; not started.
-std::unique_ptr<Source> MakeSource(boost::asio::io_context& io, const config::Membership& membership,
-                                   Source::Handlers handlers);
+std::unique_ptr<HostSource> MakeHostSource(boost::asio::io_context& io, const config::Membership& membership,
+                                           HostSource::Handlers handlers);
 
-class StaticSource : public Source {
+class StaticSource : public HostSource {
  public:
   StaticSource(std::vector<Host> hosts, Handlers handlers);
   void Start() override;
-  void Change(std::vector<Host> hosts) override;
+  void SetStaticHosts(std::vector<Host> hosts) override;
 
  private:
   std::vector<Host> hosts_;
@@ -50,7 +50,7 @@
 // A JSON file in discovery's form: {"members":[...]}; "revision" and "complete" may be left out. To be
 // replaced by renaming. One that is half written, broken or empty changes nothing and is told of; so is one
 // with no hosts in it, unless it says "empty": true.
-class FileSource : public Source {
+class FileSource : public HostSource {
  public:
   FileSource(boost::asio::io_context& io, std::string path, Handlers handlers);
   void Start() override;
@@ -61,12 +61,12 @@
   boost::asio::io_context& io_;
   const std::string path_;
   const Handlers handlers_;
-  std::unique_ptr<FileWatch> watch_;
+  std::unique_ptr<FileWatcher> watch_;
   std::string told_;  // the text that holds now
 };
 
 // The platform's discovery, watched; a call that failed is made again.
-class DiscoverySource : public Source {
+class DiscoverySource : public HostSource {
  public:
   DiscoverySource(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                   Handlers handlers);
@@ -82,4 +82,4 @@
 
 }  // namespace opalswitch::gateway
 
-#endif  // OPALSWITCH_MEMBERSHIP_SOURCE_HPP_
+#endif  // OPALSWITCH_MEMBERSHIP_HOST_SOURCE_HPP_
--- a/src/membership/node_registry.cpp
+++ b/src/membership/node_registry.cpp
@@ -13,11 +13,12 @@
       drains_[server.id] = {now, pool, {pool}, server.started_at};
       return true;
     }
-    found->second.told_by.insert(pool);
+    found->second.reported_by.insert(pool);
     return false;
   }
   if (server.state != ServerState::kUp || found == drains_.end()) return false;
-  if (server.started_at <= found->second.started_at && !found->second.told_by.contains(pool)) return false;
+  if (server.started_at <= found->second.started_at && !found->second.reported_by.contains(pool))
+    return false;
   drains_.erase(found);
   return true;
 }
@@ -29,7 +30,8 @@
   return drains ? ServerState::kDraining : ServerState::kUp;
 }
 
-std::vector<NodeRegistry::News> NodeRegistry::Told(PoolId pool, const HostList& list, Millis now) {
+std::vector<NodeRegistry::PoolUpdate> NodeRegistry::ApplyUpdate(PoolId pool, const HostList& list,
+                                                                Millis now) {
   std::map<std::string, Host>& view = views_[pool];
   std::set<std::string> changed;
   std::set<std::string> named;
@@ -45,7 +47,7 @@
   if (list.complete) {
     std::erase_if(view, [&](const auto& entry) { return !named.contains(entry.first); });
   }
-  std::vector<News> news;
+  std::vector<PoolUpdate> news;
   for (const auto& [other, hosts] : views_) {
     if (other == pool) continue;
     HostList delta;
@@ -65,13 +67,13 @@
   return news;
 }
 
-void NodeRegistry::Forget(PoolId pool) {
+void NodeRegistry::RemovePool(PoolId pool) {
   views_.erase(pool);
   for (auto& [id, drain] : drains_) {
-    drain.told_by.erase(pool);
+    drain.reported_by.erase(pool);
     // Nobody is left who could tell of the drain's end: the word of any pool will do.
-    if (!drain.told_by.empty()) continue;
-    for (const PoolId other : PoolsOf(id)) drain.told_by.insert(other);
+    if (!drain.reported_by.empty()) continue;
+    for (const PoolId other : PoolsOf(id)) drain.reported_by.insert(other);
   }
   DropUnlisted();
 }
@@ -84,7 +86,7 @@
   });
 }
 
-HostList NodeRegistry::ViewOf(PoolId pool) const {
+HostList NodeRegistry::HostsOf(PoolId pool) const {
   HostList list;
   const auto found = views_.find(pool);
   if (found == views_.end()) return list;
@@ -95,7 +97,7 @@
   return list;
 }
 
-std::optional<Host> NodeRegistry::HostOf(PoolId pool, const std::string& id) const {
+std::optional<Host> NodeRegistry::FindHost(PoolId pool, const std::string& id) const {
   const auto view = views_.find(pool);
   if (view == views_.end()) return std::nullopt;
   const auto found = view->second.find(id);
--- a/src/membership/node_registry.hpp
+++ b/src/membership/node_registry.hpp
@@ -23,28 +23,28 @@
 class NodeRegistry {
  public:
   using PoolId = std::uint64_t;
-  struct News {
+  struct PoolUpdate {
     PoolId pool;
     HostList list;
   };
   struct Drain {
-    Millis since = 0;          // when the first source told of it
-    PoolId first = 0;          // and whose that was
-    std::set<PoolId> told_by;  // all that have
-    Millis started_at = 0;     // of the process that drains
+    Millis since = 0;              // when the first source told of it
+    PoolId first = 0;              // and whose that was
+    std::set<PoolId> reported_by;  // all that have
+    Millis started_at = 0;         // of the process that drains
   };
 
   // Takes what a pool's source says, and gives what pools are to be told now: that one, and each other that a
   // drain, or the end of one, reaches through it. The pool's own news comes last: the drains of others first.
-  std::vector<News> Told(PoolId pool, const HostList& list, Millis now);
+  std::vector<PoolUpdate> ApplyUpdate(PoolId pool, const HostList& list, Millis now);
   // The pool is no more: its view counts for nothing.
-  void Forget(PoolId pool);
+  void RemovePool(PoolId pool);
 
   const std::map<std::string, Drain>& drains() const { return drains_; }
   // The pool's hosts as its source has them, with the drains of all; a complete list.
-  HostList ViewOf(PoolId pool) const;
+  HostList HostsOf(PoolId pool) const;
   // One of them; nothing if the pool's source does not list it.
-  std::optional<Host> HostOf(PoolId pool, const std::string& id) const;
+  std::optional<Host> FindHost(PoolId pool, const std::string& id) const;
   // Pools whose sources list the node.
   std::vector<PoolId> PoolsOf(const std::string& id) const;
 
--- a/src/membership/watch_pace.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -1,4 +1,4 @@
-#include "membership/watch_pace.hpp"
+#include "membership/watch_schedule.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -15,25 +15,25 @@
   return std::min(most, std::ldexp(first, std::clamp(times, 0, kMostDoubled)));
 }
 
-const char* Words(WatchFault fault) {
+const char* Words(WatchFailure fault) {
   switch (fault) {
-    case WatchFault::kDial: return "can't be reached";
-    case WatchFault::kSilent: return "doesn't answer in time";
-    case WatchFault::kEnded: return "ends the watch";
-    case WatchFault::kBroken: return "breaks its answer off";
-    case WatchFault::kStatus: return "refuses";
-    case WatchFault::kUnreadable: return "sends a list that can't be read";
-    case WatchFault::kOlder: return "sends a list older than the one known";
+    case WatchFailure::kDial: return "can't be reached";
+    case WatchFailure::kSilent: return "doesn't answer in time";
+    case WatchFailure::kEnded: return "ends the watch";
+    case WatchFailure::kBroken: return "breaks its answer off";
+    case WatchFailure::kStatus: return "refuses";
+    case WatchFailure::kUnreadable: return "sends a list that can't be read";
+    case WatchFailure::kOlder: return "sends a list older than the one known";
   }
   return "";
 }
 
 }  // namespace
 
-WatchPace::WatchPace(std::optional<std::int64_t> revision, const WatchTimes& times)
+WatchSchedule::WatchSchedule(std::optional<std::int64_t> revision, const WatchTimes& times)
     : times_(times), revision_(revision) {}
 
-std::string WatchPace::Begin(double uniform) {
+std::string WatchSchedule::Begin(double uniform) {
   // While it sends older lists only a whole one can tell whether it has begun anew.
   wait_ = 0;
   if (!revision_ || older_ > 0) return "/discovery/hosts";
@@ -42,24 +42,24 @@
          "&wait_ms=" + std::to_string(static_cast<int>(wait_));
 }
 
-Millis WatchPace::Patience() const {
+Millis WatchSchedule::Patience() const {
   if (wait_ <= 0) return times_.most_silence;
   return wait_ + std::min(times_.most_silence,
                           2 * turn_ + Doubled(times_.silence, unanswered_ - 1, times_.most_silence));
 }
 
-Millis WatchPace::Pause(double uniform) const { return std::min(times_.most_pause, 2 * turn_) * uniform; }
+Millis WatchSchedule::Pause(double uniform) const { return std::min(times_.most_pause, 2 * turn_) * uniform; }
 
-bool WatchPace::AgainAtOnce(WatchFault fault) const {
-  if (fault == WatchFault::kSilent) return failures_ == 1;
-  return failures_ <= kAtOnce && (fault == WatchFault::kBroken || fault == WatchFault::kUnreadable);
+bool WatchSchedule::AgainAtOnce(WatchFailure fault) const {
+  if (fault == WatchFailure::kSilent) return failures_ == 1;
+  return failures_ <= kAtOnce && (fault == WatchFailure::kBroken || fault == WatchFailure::kUnreadable);
 }
 
-Millis WatchPace::RetryGap(double uniform) const {
+Millis WatchSchedule::RetryGap(double uniform) const {
   return Doubled(times_.first_retry, failures_ - 1, times_.most_retry) * (0.5 + uniform);
 }
 
-bool WatchPace::Takes(const HostList& list) {
+bool WatchSchedule::Takes(const HostList& list) {
   if (revision_ && list.revision < *revision_) {
     if (!list.complete) return false;
     older_ = older_ > 0 && list.revision >= older_revision_ ? older_ + 1 : 1;
@@ -71,11 +71,11 @@
   return true;
 }
 
-void WatchPace::LearnTurn(Millis took) { turn_ += kTurnWeight * (std::max(0.0, took) - turn_); }
+void WatchSchedule::LearnTurn(Millis took) { turn_ += kTurnWeight * (std::max(0.0, took) - turn_); }
 
-std::optional<std::string> WatchPace::Failed(WatchFault fault, Millis took, const std::string& detail) {
-  unanswered_ = fault == WatchFault::kSilent ? unanswered_ + 1 : 0;
-  if (fault == WatchFault::kStatus)
+std::optional<std::string> WatchSchedule::Failed(WatchFailure fault, Millis took, const std::string& detail) {
+  unanswered_ = fault == WatchFailure::kSilent ? unanswered_ + 1 : 0;
+  if (fault == WatchFailure::kStatus)
     LearnTurn(std::max(turn_, took));  // quick: it is down, no matter of turns
   if (failures_++ > 0) return std::nullopt;
   std::string line = std::string("discovery ") + Words(fault);
@@ -84,7 +84,7 @@
                            : "; no list of its is known yet");
 }
 
-std::optional<std::string> WatchPace::Succeeded(Millis took, bool news) {
+std::optional<std::string> WatchSchedule::Succeeded(Millis took, bool news) {
   // Without news the answer came when the wait was over. With news, that were there already or came in the
   // meantime, the turn took that long at the most.
   if (!news && wait_ > 0) LearnTurn(took - wait_);
@@ -97,7 +97,7 @@
          (revision_ ? std::to_string(*revision_) : "unknown");
 }
 
-void WatchPace::Moved() {
+void WatchSchedule::Moved() {
   revision_.reset();
   failures_ = unanswered_ = older_ = 0;
   turn_ = 0;
--- a/src/membership/watch_pace.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -1,8 +1,8 @@
 // How the watch on discovery is kept: how long a call may wait, when it counts as failed, when the next one
 // is made, which answers are believed, and what of it the operators read. Does no I/O and reads no clock;
 // whoever makes the calls (discovery.hpp) tells what came of them. Not thread-safe.
-#ifndef OPALSWITCH_MEMBERSHIP_WATCH_PACE_HPP_
-#define OPALSWITCH_MEMBERSHIP_WATCH_PACE_HPP_
+#ifndef OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
+#define OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -30,12 +30,12 @@
 
 // What came of a call that was not answered as it should be. kEnded: not a byte of an answer came, as when
 // discovery goes down; kBroken: the answer began.
-enum class WatchFault { kDial, kSilent, kEnded, kBroken, kStatus, kUnreadable, kOlder };
+enum class WatchFailure { kDial, kSilent, kEnded, kBroken, kStatus, kUnreadable, kOlder };
 
-class WatchPace {
+class WatchSchedule {
  public:
   // `revision`: of the last list known, if it came from this discovery.
-  explicit WatchPace(std::optional<std::int64_t> revision = std::nullopt, const WatchTimes& times = {});
+  explicit WatchSchedule(std::optional<std::int64_t> revision = std::nullopt, const WatchTimes& times = {});
 
   // The path and query of the next call. `uniform`, in [0, 1) as everywhere here, draws how long it may wait,
   // from half to one and a half of the mean: gateways that started together soon ask at different times.
@@ -49,7 +49,7 @@
   // for faults of this gateway's own call: news that were sent and could not be read count as told, and so do
   // those that a silent watch missed. Silence is noticed at a time that was drawn, so that it spreads by
   // itself.
-  bool AgainAtOnce(WatchFault fault) const;
+  bool AgainAtOnce(WatchFailure fault) const;
   // From a failed call to the next, for those who are not told when to call.
   Millis RetryGap(double uniform) const;
 
@@ -61,7 +61,7 @@
   // These give a line for the operators' log: when the first of several calls fails, when calls succeed
   // again, and never in between. `took`: ms from the request to the answer. `detail` is a status or an error,
   // may be empty; `news`: whether the list named any host.
-  std::optional<std::string> Failed(WatchFault fault, Millis took, const std::string& detail);
+  std::optional<std::string> Failed(WatchFailure fault, Millis took, const std::string& detail);
   std::optional<std::string> Succeeded(Millis took, bool news);
 
   // Discovery is elsewhere: revisions are each discovery's own.
@@ -84,4 +84,4 @@
 
 }  // namespace opalswitch::gateway
 
-#endif  // OPALSWITCH_MEMBERSHIP_WATCH_PACE_HPP_
+#endif  // OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -157,7 +157,7 @@
 
   void Arm(Millis until) {
     due_ = until;
-    timer_.expires_after(Span(until - Now()));
+    timer_.expires_after(ToDuration(until - Now()));
     timer_.async_wait([self = shared_from_this()](error_code ec) {
       if (!ec && self->open_) self->TimeUp();
     });
@@ -209,7 +209,7 @@
   void ReadHead() {
     parser_.emplace();
     parser_->body_limit(pool_.limits_.answer_body);
-    parser_->header_limit(kMostHeader);
+    parser_->header_limit(kMaxHeaderBytes);
     if (method_ == http::verb::head) parser_->skip(true);
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](error_code ec, std::size_t) {
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -25,7 +25,7 @@
     Millis dial_timeout = 250;
     Millis idle_timeout = 15000;    // hosts close connections that stood idle for this long
     std::size_t connections = 256;  // over all hosts
-    std::uint64_t answer_body = kMostBody;
+    std::uint64_t answer_body = kMaxBodyBytes;
     // Any answer below 500 is served, whatever it says. Else only 200 is.
     bool plain = false;
     // Asks for a descriptor and gives one back, where several pools share them; empty = all are this one's.
--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -68,11 +68,11 @@
     pools[from.id]->number = made_;
     if (found == pools_.end() || !found->second) continue;
     // Until its membership tells: the hosts that the old pool knew.
-    const gateway::HostList known = nodes_.ViewOf(found->second->number);
+    const gateway::HostList known = nodes_.HostsOf(found->second->number);
     if (!known.hosts.empty()) Give(from.id, *pools[from.id], known, now);
   }
   for (const auto& [id, pool] : pools_) {
-    if (pool) nodes_.Forget(pool->number);
+    if (pool) nodes_.RemovePool(pool->number);
     if (!pools.contains(id)) out_since_.erase(id);
   }
   pools_ = std::move(pools);
@@ -151,8 +151,8 @@
   for (const std::string& line : pool.decider.TakeLog()) say_("pool " + id + ": " + line);
 }
 
-void Control::Give(const std::vector<gateway::NodeRegistry::News>& news, Millis now) {
-  for (const gateway::NodeRegistry::News& item : news) {
+void Control::Give(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now) {
+  for (const gateway::NodeRegistry::PoolUpdate& item : news) {
     for (auto& [id, pool] : pools_) {
       if (pool->number == item.pool) Give(id, *pool, item.list, now);
     }
@@ -163,7 +163,7 @@
   Outs out;
   const auto found = pools_.find(id);
   if (found == pools_.end()) return out;
-  const auto news = nodes_.Told(found->second->number, list, now);
+  const auto news = nodes_.ApplyUpdate(found->second->number, list, now);
   Give(news, now);
   for (auto& [name, pool] : pools_) {
     const auto reached =
@@ -357,7 +357,7 @@
 Control::Outs Control::Change(const std::string& node, Millis now) {
   Outs out;
   for (auto& [id, pool] : pools_) {
-    const auto host = nodes_.HostOf(pool->number, node);
+    const auto host = nodes_.FindHost(pool->number, node);
     if (!host) continue;
     Give(id, *pool, {0, false, {*host}}, now);
     Append(out, PublishOut(id, *pool, {node}, now));
--- a/src/xds/control.hpp
+++ b/src/xds/control.hpp
@@ -83,7 +83,7 @@
   // The operators' drain of a node has begun or ended.
   Outs Change(const std::string& node, Millis now);
   void Give(const std::string& id, Pool& pool, const gateway::HostList& list, Millis now);
-  void Give(const std::vector<gateway::NodeRegistry::News>& news, Millis now);
+  void Give(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now);
   void SayLog(const std::string& id, Pool& pool);
   // Tells of a pool's endpoints if they differ enough from what was told. Costs what the pool has.
   Outs Publish(const std::string& id, Pool& pool, Millis now);
--- a/src/xds/decider.cpp
+++ b/src/xds/decider.cpp
@@ -60,7 +60,7 @@
     }
     known.host = host;
     // Of two at one address the one that is up counts: the other drains, or is gone.
-    const auto [place, free] = by_address_.try_emplace(gateway::ToText(host.address), id);
+    const auto [place, free] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
     if (!free && host.server.state == ServerState::kUp) place->second = id;
   }
   if (list.complete) {
@@ -80,7 +80,7 @@
 }
 
 void Decider::Unplace(const std::string& id, const Known& known) {
-  const auto place = by_address_.find(gateway::ToText(known.host.address));
+  const auto place = by_address_.find(gateway::FormatEndpoint(known.host.address));
   if (place != by_address_.end() && place->second == id) by_address_.erase(place);
 }
 
@@ -261,8 +261,8 @@
   for (const Assigned& to : Endpoints()) {
     const Known& known = hosts_.at(to.id);
     const auto word = evidence_.Of(to.id, 0, now);
-    all.push_back({to.id, gateway::ToText(known.host.address), to.standing, to.weight, known.tried_since >= 0,
-                   word ? word->failing : 0, word ? word->proxies : 0});
+    all.push_back({to.id, gateway::FormatEndpoint(known.host.address), to.standing, to.weight,
+                   known.tried_since >= 0, word ? word->failing : 0, word ? word->proxies : 0});
   }
   return all;
 }
--- a/src/xds/drain_file.cpp
+++ b/src/xds/drain_file.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 
 namespace opalswitch::xds {
 namespace {
--- a/src/xds/tls.cpp
+++ b/src/xds/tls.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 
 namespace opalswitch::xds {
 namespace {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <random>
 
-#include "membership/watch_pace.hpp"
+#include "membership/watch_schedule.hpp"
 #include "peers.hpp"
 
 namespace opalswitch::testing {
@@ -15,8 +15,8 @@
 
 using gateway::Discovery;
 using gateway::HostList;
-using gateway::WatchFault;
-using gateway::WatchPace;
+using gateway::WatchFailure;
+using gateway::WatchSchedule;
 using gateway::WatchTimes;
 
 HostList Whole(std::int64_t revision) { return {revision, true, {}}; }
@@ -24,24 +24,24 @@
 
 // A drain counts as told 2 s after the wait is over, and nothing may go 0.5 s later. A watch that fell silent
 // is given up long enough before that for another call, which may wait as long as its turn takes.
-TEST(WatchPace, ASilentWatchLeavesTimeForAnotherCallBeforeADrainIsDue) {
+TEST(WatchSchedule, ASilentWatchLeavesTimeForAnotherCallBeforeADrainIsDue) {
   for (const double uniform : {0.0, 0.5, 0.999}) {
-    WatchPace pace(41);
+    WatchSchedule pace(41);
     pace.Begin(uniform);
     const Millis wait = pace.Patience() - pace.times().silence;
     EXPECT_NEAR(wait, pace.times().wait * (0.5 + uniform), 1);
-    pace.Failed(WatchFault::kSilent, pace.Patience(), "");
+    pace.Failed(WatchFailure::kSilent, pace.Patience(), "");
     EXPECT_LE(pace.times().silence + pace.RetryGap(1), 1000);  // of the 2,500 that there are
   }
 }
 
 // Gateways that start together must not all ask again together: discovery works through calls in turn.
-TEST(WatchPace, AHundredGatewaysThatStartTogetherAskAgainOverTheWholeWait) {
+TEST(WatchSchedule, AHundredGatewaysThatStartTogetherAskAgainOverTheWholeWait) {
   std::mt19937 random(3);
   std::map<int, int> in_second;
   Millis most = 0;
   for (int i = 0; i < 100; ++i) {
-    WatchPace pace(0);
+    WatchSchedule pace(0);
     pace.Begin(std::uniform_real_distribution(0.0, 1.0)(random));
     ++in_second[static_cast<int>(pace.Patience() / 1000)];
     most = std::max(most, pace.Patience());
@@ -50,31 +50,31 @@
   EXPECT_LE(most, 1.5 * 5000 + 600);
 }
 
-TEST(WatchPace, AnOverbookedDiscoveryIsGivenMoreTimeByEachUnansweredCall) {
-  WatchPace pace(41);
+TEST(WatchSchedule, AnOverbookedDiscoveryIsGivenMoreTimeByEachUnansweredCall) {
+  WatchSchedule pace(41);
   Millis last = 0;
   for (int i = 0; i < 40; ++i) {
-    pace.Failed(WatchFault::kSilent, 5000, "");
+    pace.Failed(WatchFailure::kSilent, 5000, "");
     pace.Begin(0.5);
     EXPECT_GE(pace.Patience(), last);
     last = pace.Patience();
   }
   EXPECT_EQ(last, pace.times().recovery_wait + pace.times().most_silence);
-  pace.Failed(WatchFault::kStatus, 30, "503");  // it answers
+  pace.Failed(WatchFailure::kStatus, 30, "503");  // it answers
   pace.Begin(0.5);
   EXPECT_NEAR(pace.Patience(), pace.times().recovery_wait + pace.times().silence, 100);
 }
 
 // News wake all watches at once; what they ask next stands in a line, and the line's length is told by what
 // waited in it.
-TEST(WatchPace, CallsAfterNewsAreSpreadAsFarAsTurnsTookLong) {
-  WatchPace pace(41);
+TEST(WatchSchedule, CallsAfterNewsAreSpreadAsFarAsTurnsTookLong) {
+  WatchSchedule pace(41);
   pace.Begin(0.5);
   pace.Succeeded(5002, false);
   EXPECT_LT(pace.Pause(1), 10);  // nobody stands in line
   for (int i = 0; i < 20; ++i) {
     pace.Begin(0.5);
-    pace.Failed(WatchFault::kStatus, 2000, "503");  // stood there for 2 s in vain
+    pace.Failed(WatchFailure::kStatus, 2000, "503");  // stood there for 2 s in vain
   }
   EXPECT_EQ(pace.Pause(1), pace.times().most_pause);
   EXPECT_EQ(pace.Pause(0.25), pace.times().most_pause / 4);
@@ -91,43 +91,43 @@
 // A drain that was sent and could not be read, or that a silent watch missed, counts as told: it can't wait
 // for a gap. Seen on a bad day: a watch fell silent, the next answer broke off, and the one after it came 4 s
 // later.
-TEST(WatchPace, WhatCountsAsToldIsAskedForAgainAtOnceButNotForEver) {
-  WatchPace pace(41);
-  pace.Failed(WatchFault::kSilent, 5600, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFault::kSilent));
-  pace.Failed(WatchFault::kBroken, 200, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFault::kBroken));
-  pace.Failed(WatchFault::kSilent, 2600, "");
-  EXPECT_FALSE(pace.AgainAtOnce(WatchFault::kSilent));
-  for (int i = 0; i < 5; ++i) pace.Failed(WatchFault::kUnreadable, 200, "");
-  EXPECT_FALSE(pace.AgainAtOnce(WatchFault::kUnreadable));
+TEST(WatchSchedule, WhatCountsAsToldIsAskedForAgainAtOnceButNotForEver) {
+  WatchSchedule pace(41);
+  pace.Failed(WatchFailure::kSilent, 5600, "");
+  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kSilent));
+  pace.Failed(WatchFailure::kBroken, 200, "");
+  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kBroken));
+  pace.Failed(WatchFailure::kSilent, 2600, "");
+  EXPECT_FALSE(pace.AgainAtOnce(WatchFailure::kSilent));
+  for (int i = 0; i < 5; ++i) pace.Failed(WatchFailure::kUnreadable, 200, "");
+  EXPECT_FALSE(pace.AgainAtOnce(WatchFailure::kUnreadable));
   pace.Succeeded(100, true);
-  pace.Failed(WatchFault::kUnreadable, 200, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFault::kUnreadable));
+  pace.Failed(WatchFailure::kUnreadable, 200, "");
+  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kUnreadable));
 }
 
 // All watches end together, or a line is full: who is next the policy says, or all would call at once.
-TEST(WatchPace, WhatAllMeetTogetherIsNotAskedForAgainAtOnce) {
-  for (const WatchFault fault :
-       {WatchFault::kDial, WatchFault::kEnded, WatchFault::kStatus, WatchFault::kOlder}) {
-    WatchPace pace(41);
+TEST(WatchSchedule, WhatAllMeetTogetherIsNotAskedForAgainAtOnce) {
+  for (const WatchFailure fault :
+       {WatchFailure::kDial, WatchFailure::kEnded, WatchFailure::kStatus, WatchFailure::kOlder}) {
+    WatchSchedule pace(41);
     pace.Failed(fault, 100, "");
     EXPECT_FALSE(pace.AgainAtOnce(fault));
   }
 }
 
-TEST(WatchPace, GapsGrowToABoundAndAreSpread) {
-  WatchPace pace(41);
-  pace.Failed(WatchFault::kDial, 1, "");
+TEST(WatchSchedule, GapsGrowToABoundAndAreSpread) {
+  WatchSchedule pace(41);
+  pace.Failed(WatchFailure::kDial, 1, "");
   EXPECT_EQ(pace.RetryGap(0.5), pace.times().first_retry);
-  for (int i = 0; i < 100; ++i) pace.Failed(WatchFault::kDial, 1, "");
+  for (int i = 0; i < 100; ++i) pace.Failed(WatchFailure::kDial, 1, "");
   EXPECT_EQ(pace.RetryGap(0), 0.5 * pace.times().most_retry);
   EXPECT_EQ(pace.RetryGap(1), 1.5 * pace.times().most_retry);
 }
 
 // A lagging copy's list would bring back hosts that drain.
-TEST(WatchPace, AnOlderListIsNoNews) {
-  WatchPace pace(41);
+TEST(WatchSchedule, AnOlderListIsNoNews) {
+  WatchSchedule pace(41);
   EXPECT_FALSE(pace.Takes(Whole(40)));
   EXPECT_FALSE(pace.Takes(Changes(40)));
   EXPECT_EQ(pace.revision(), 41);
@@ -137,8 +137,8 @@
   EXPECT_EQ(pace.revision(), 43);
 }
 
-TEST(WatchPace, ADiscoveryThatCountsAnewIsBelievedAfterSeveralWholeLists) {
-  WatchPace pace(41);
+TEST(WatchSchedule, ADiscoveryThatCountsAnewIsBelievedAfterSeveralWholeLists) {
+  WatchSchedule pace(41);
   EXPECT_FALSE(pace.Takes(Whole(3)));
   EXPECT_FALSE(pace.Takes(Changes(4)));  // of what?
   EXPECT_FALSE(pace.Takes(Whole(2)));    // not even later than the one before it
@@ -147,22 +147,22 @@
   EXPECT_EQ(pace.revision(), 4);
 }
 
-TEST(WatchPace, OneLineForManyFailedCallsAndOneWhenItAnswers) {
-  WatchPace pace(41);
-  EXPECT_EQ(pace.Failed(WatchFault::kStatus, 30, "503"),
+TEST(WatchSchedule, OneLineForManyFailedCallsAndOneWhenItAnswers) {
+  WatchSchedule pace(41);
+  EXPECT_EQ(pace.Failed(WatchFailure::kStatus, 30, "503"),
             "discovery refuses (503); the last good list, revision 41, stays");
-  for (int i = 0; i < 50; ++i) EXPECT_FALSE(pace.Failed(WatchFault::kSilent, 5000, ""));
+  for (int i = 0; i < 50; ++i) EXPECT_FALSE(pace.Failed(WatchFailure::kSilent, 5000, ""));
   EXPECT_EQ(pace.Succeeded(5000, false), "discovery answers again after 51 failed calls; revision 41");
   EXPECT_FALSE(pace.Succeeded(5000, false));
 }
 
 // Whatever comes, in any order: bounds hold, and the revision falls only by whole lists that agree.
-TEST(WatchPace, HoldsItsBoundsThroughRandomAnswers) {
+TEST(WatchSchedule, HoldsItsBoundsThroughRandomAnswers) {
   std::mt19937 random(11);
-  WatchPace pace;
+  WatchSchedule pace;
   for (int i = 0; i < 20000; ++i) {
     if (random() % 2 == 0) {
-      pace.Failed(static_cast<WatchFault>(random() % 7), random() % 9000, "");
+      pace.Failed(static_cast<WatchFailure>(random() % 7), random() % 9000, "");
     } else {
       const auto before = pace.revision();
       const HostList list{static_cast<std::int64_t>(random() % 9) - 2, random() % 2 == 0, {}};
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -12,7 +12,7 @@
 #include "base/clock.hpp"
 #include "config/platform_config.hpp"
 #include "gateway/stop_sequence.hpp"
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 #include "peers.hpp"
 #include "routing/target.hpp"
 
@@ -565,18 +565,18 @@
 }
 
 // For a front end alone: every request is as good as another, and there is no pool to take it.
-std::optional<gateway::Fault> AdmitAll(const HttpRequest&, const routing::Target&, const gateway::Origin&,
-                                       gateway::Call&) {
+std::optional<gateway::Fault> AdmitAll(const HttpRequest&, const routing::Target&,
+                                       const gateway::RequestOrigin&, gateway::Call&) {
   return std::nullopt;
 }
 
 // Guards the places of usual clients: those that say nothing, or half a request, are told off or closed in
 // time.
-TEST(ClientServer, EndsSilentAndHalfRequests) {
+TEST(HttpServer, EndsSilentAndHalfRequests) {
   asio::io_context io;
-  gateway::ClientLimits limits;
+  gateway::HttpServerLimits limits;
   limits.first_request = limits.whole_request = 1;
-  gateway::ClientServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
+  gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client silent(io, at), half(io, at), body(io, at);
   half.Send("GET /api HTTP/1.1\r\nReq-");
@@ -589,13 +589,13 @@
 }
 
 // Guards clients between requests against a crowd that connects and says nothing: the crowd makes room.
-TEST(ClientServer, EvictsTheSilentBeforeUsualClients) {
+TEST(HttpServer, EvictsTheSilentBeforeUsualClients) {
   asio::io_context io;
-  gateway::ClientLimits limits;
+  gateway::HttpServerLimits limits;
   limits.sessions = 4;
   limits.first_request = limits.whole_request = limits.idle = 60000;
   limits.arrival = 0;
-  gateway::ClientServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
+  gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client usual(io, at);
   usual.Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -615,12 +615,12 @@
 
 // Guards a client whose request is still on its way against being closed for the next one that connects: it
 // would connect again, and so would all. The kept connection of one that asked before goes first.
-TEST(ClientServer, GivesANewClientAMomentForItsRequest) {
+TEST(HttpServer, GivesANewClientAMomentForItsRequest) {
   asio::io_context io;
-  gateway::ClientLimits limits;
+  gateway::HttpServerLimits limits;
   limits.sessions = 3;
   limits.arrival = limits.first_request = limits.idle = 60000;
-  gateway::ClientServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
+  gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client stayed(io, at);
   stayed.Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -930,8 +930,8 @@
     http.set("Req-Cost", cost);
     std::string error;
     gateway::Call call;
-    const auto fault = gateway::CheckPlatformCall({{"view", Effect::kSafe}}, http,
-                                                  *routing::ReadTarget("GET", "/api", error), call);
+    const auto fault = gateway::ReadPlatformRequest({{"view", Effect::kSafe}}, http,
+                                                    *routing::ReadTarget("GET", "/api", error), call);
     EXPECT_FALSE(fault) << fault->text;
     return call.cost;
   };
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,8 +5,8 @@
 #include <cstdio>
 #include <fstream>
 
+#include "membership/host_source.hpp"
 #include "membership/node_registry.hpp"
-#include "membership/source.hpp"
 #include "peers.hpp"
 
 namespace opalswitch::testing {
@@ -28,7 +28,7 @@
 HostList Delta(std::vector<Host> hosts) { return {0, false, std::move(hosts)}; }
 
 // What the news say of a node in a pool; nothing if they don't name it.
-std::optional<ServerState> Said(const std::vector<NodeRegistry::News>& news, std::uint64_t pool,
+std::optional<ServerState> Said(const std::vector<NodeRegistry::PoolUpdate>& news, std::uint64_t pool,
                                 const std::string& id) {
   for (const auto& item : news) {
     if (item.pool != pool) continue;
@@ -41,10 +41,10 @@
 
 TEST(NodeRegistry, OneDrainReachesAllPoolsThatListTheNode) {
   NodeRegistry nodes;
-  nodes.Told(1, Full({Node("n"), Node("a")}), 0);
-  nodes.Told(2, Full({Node("n"), Node("b")}), 0);
-  nodes.Told(3, Full({Node("c")}), 0);
-  const auto news = nodes.Told(1, Delta({Node("n", ServerState::kDraining)}), 100);
+  nodes.ApplyUpdate(1, Full({Node("n"), Node("a")}), 0);
+  nodes.ApplyUpdate(2, Full({Node("n"), Node("b")}), 0);
+  nodes.ApplyUpdate(3, Full({Node("c")}), 0);
+  const auto news = nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kDraining)}), 100);
   EXPECT_EQ(Said(news, 1, "n"), ServerState::kDraining);
   EXPECT_EQ(Said(news, 2, "n"), ServerState::kDraining);
   EXPECT_EQ(news.size(), 2u);  // the third does not list it
@@ -54,26 +54,26 @@
 
 TEST(NodeRegistry, ALateListDoesNotBringADrainingNodeBack) {
   NodeRegistry nodes;
-  nodes.Told(1, Full({Node("n")}), 0);
-  nodes.Told(2, Full({Node("n")}), 0);
-  nodes.Told(1, Delta({Node("n", ServerState::kDraining)}), 100);
-  EXPECT_EQ(Said(nodes.Told(2, Full({Node("n")}), 2000), 2, "n"), ServerState::kDraining);
-  nodes.Told(1, Delta({Node("n", ServerState::kGone)}), 3000);
-  EXPECT_EQ(Said(nodes.Told(2, Full({Node("n")}), 4000), 2, "n"), ServerState::kDraining);
+  nodes.ApplyUpdate(1, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(2, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kDraining)}), 100);
+  EXPECT_EQ(Said(nodes.ApplyUpdate(2, Full({Node("n")}), 2000), 2, "n"), ServerState::kDraining);
+  nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kGone)}), 3000);
+  EXPECT_EQ(Said(nodes.ApplyUpdate(2, Full({Node("n")}), 4000), 2, "n"), ServerState::kDraining);
   EXPECT_EQ(nodes.drains().at("n").since, 100);  // the instant of the first word
-  nodes.Told(2, Full({}), 5100);
+  nodes.ApplyUpdate(2, Full({}), 5100);
   EXPECT_TRUE(nodes.drains().empty());  // nobody lists it any more
 }
 
 TEST(NodeRegistry, ADrainEndsByItsTellerOrByANewProcess) {
   NodeRegistry nodes;
-  nodes.Told(1, Full({Node("n")}), 0);
-  nodes.Told(2, Full({Node("n")}), 0);
-  nodes.Told(1, Delta({Node("n", ServerState::kDraining)}), 100);
-  auto news = nodes.Told(1, Delta({Node("n")}), 200);
+  nodes.ApplyUpdate(1, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(2, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kDraining)}), 100);
+  auto news = nodes.ApplyUpdate(1, Delta({Node("n")}), 200);
   EXPECT_EQ(Said(news, 2, "n"), ServerState::kUp);
-  nodes.Told(1, Delta({Node("n", ServerState::kDraining, 50)}), 300);
-  news = nodes.Told(2, Delta({Node("n", ServerState::kUp, 400)}), 500);
+  nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kDraining, 50)}), 300);
+  news = nodes.ApplyUpdate(2, Delta({Node("n", ServerState::kUp, 400)}), 500);
   EXPECT_EQ(Said(news, 1, "n"), ServerState::kDraining);  // its own source says so still
   EXPECT_EQ(Said(news, 2, "n"), ServerState::kUp);
   EXPECT_TRUE(nodes.drains().empty());
@@ -81,12 +81,12 @@
 
 TEST(NodeRegistry, ForgetsAPoolWithoutLeavingItsDrainsForGood) {
   NodeRegistry nodes;
-  nodes.Told(1, Full({Node("n")}), 0);
-  nodes.Told(2, Full({Node("n")}), 0);
-  nodes.Told(1, Delta({Node("n", ServerState::kDraining)}), 100);
-  nodes.Forget(1);
+  nodes.ApplyUpdate(1, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(2, Full({Node("n")}), 0);
+  nodes.ApplyUpdate(1, Delta({Node("n", ServerState::kDraining)}), 100);
+  nodes.RemovePool(1);
   EXPECT_EQ(nodes.drains().count("n"), 1u);
-  EXPECT_EQ(Said(nodes.Told(2, Full({Node("n")}), 200), 2, "n"), ServerState::kUp);
+  EXPECT_EQ(Said(nodes.ApplyUpdate(2, Full({Node("n")}), 200), 2, "n"), ServerState::kUp);
 }
 
 TEST(HostFile, SaysWhatIsWrongWithIt) {
--- a/tests/standins/load.hpp
+++ b/tests/standins/load.hpp
@@ -93,7 +93,7 @@
       --load->out_;
       const auto& answer = parser->get();
       ++load->answers[answer.result_int()];
-      if (answer.count(gateway::kCauseField) > 0) ++load->causes[std::string(answer[gateway::kCauseField])];
+      if (answer.count(gateway::kCauseHeader) > 0) ++load->causes[std::string(answer[gateway::kCauseHeader])];
       if (answer.result_int() == 200) {
         load->times.push_back(std::chrono::duration<double, std::milli>(Clock::now() - begun).count());
       }
