--- a/src/gateway/client_request.hpp
+++ b/src/gateway/client_request.hpp
@@ -28,14 +28,14 @@
 struct ClientRequest {
   HttpRequest http;
   std::string id, class_name, tenant, key;
-  std::string client;                         // its address; empty if nobody is to be told
-  bool is_retry = false;                      // the client's own further try
-  Millis received = 0;                        // when its last byte was read
-  Millis client_timeout = 0;                  // how long the client waits, from when it sent it
-  Millis cost = 0;                            // the client's guess at the work; 0 = none
-  std::uint64_t max_body_bytes = kMostBody;   // bytes of body that its pool takes
-  std::function<void(HttpResponse)> respond;  // to be called once; what follows is dropped
-  std::shared_ptr<Pool> pool;                 // which is to serve it
+  std::string client;                            // its address; empty if nobody is to be told
+  bool is_retry = false;                         // the client's own further try
+  Millis received = 0;                           // when its last byte was read
+  Millis client_timeout = 0;                     // how long the client waits, from when it sent it
+  Millis cost = 0;                               // the client's guess at the work; 0 = none
+  std::uint64_t max_body_bytes = kMaxBodyBytes;  // bytes of body that its pool takes
+  std::function<void(HttpResponse)> respond;     // to be called once; what follows is dropped
+  std::shared_ptr<Pool> pool;                    // which is to serve it
   // Asks for room for a body of so many bytes, once, before it is read; null if it is never refused.
   std::function<bool(std::uint64_t)> reserve_body;
   std::shared_ptr<limits::ReadThrottle> read_throttle;  // of who is turned away; null = nobody is paced
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -17,11 +17,11 @@
 #include "gateway/client_request.hpp"
 #include "gateway/pool.hpp"
 #include "gateway/stop_sequence.hpp"
-#include "http/client_server.hpp"
+#include "http/http_server.hpp"
 #include "limits/request_limiter.hpp"
 #include "limits/shared_budget.hpp"
+#include "membership/host_source.hpp"
 #include "membership/node_registry.hpp"
-#include "membership/source.hpp"
 #include "routing/target.hpp"
 
 namespace opalswitch::gateway {
@@ -62,7 +62,7 @@
   };
 
   std::optional<LocalReply> Admit(const HttpRequest& head, const routing::Target& target,
-                                  const Origin& origin, ClientRequest& call);
+                                  const RequestOrigin& origin, ClientRequest& call);
   std::optional<LocalReply> Describe(const HttpRequest& head, const config::RouteRule& rule,
                                      const config::Pool& pool, ClientRequest& call);
   std::optional<LocalReply> Enter(const std::shared_ptr<Member>& member, ClientRequest& call);
@@ -84,7 +84,7 @@
   std::shared_ptr<const Snapshot> snapshot_;
   std::list<std::shared_ptr<Member>> retiring_;
   bool sweeping_ = false;
-  ClientServer clients_;
+  HttpServer clients_;
   StopSequence stop_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
