--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -28,7 +28,7 @@
 namespace config = opalswitch::config;
 namespace routing = opalswitch::routing;
 namespace asio = boost::asio;
-using opalswitch::apps::Print;
+using opalswitch::apps::PrintIssues;
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
@@ -58,20 +58,20 @@
 
 int RunServices(const std::string& path) {
   const auto first = config::LoadServices(path);
-  if (!first.services) return Print(first.issues, stderr), kFailed;
+  if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
   asio::io_context io(1);
   gw::ServiceGateway gateway(io, first.services, RandomSeed());
   std::unique_ptr<gw::FileWatch> watch;
   std::function<void()> reload;
   const auto follow = [&](const config::Services& services) {
-    if (services.watch == (watch != nullptr)) return;
-    watch = services.watch ? std::make_unique<gw::FileWatch>(io, path, [&] { reload(); }) : nullptr;
+    if (services.watches_file == (watch != nullptr)) return;
+    watch = services.watches_file ? std::make_unique<gw::FileWatch>(io, path, [&] { reload(); }) : nullptr;
   };
   reload = [&] {
     const auto next = config::LoadServices(path);
     if (!next.services) {
       std::fprintf(stderr, "forkwick: not reloaded, %zu faults in the file:\n", next.issues.size());
-      return Print(next.issues, stderr);
+      return PrintIssues(next.issues, stderr);
     }
     if (const auto error = gateway.Reload(next.services)) {
       std::fprintf(stderr, "forkwick: not reloaded: %s\n", error->c_str());
@@ -111,7 +111,7 @@
                 parsed.services->listeners.size(), parsed.services->classes.size(),
                 parsed.services->pools.size(), parsed.services->routes.size());
   } else {
-    Print(parsed.issues, stdout);
+    PrintIssues(parsed.issues, stdout);
   }
   return parsed.services ? kDone : kFailed;
 }
@@ -123,12 +123,12 @@
 
 int Explain(const std::string& file, const Asked& asked) {
   const auto parsed = config::LoadServices(file);
-  if (!parsed.services) return Print(parsed.issues, stderr), kFailed;
+  if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
   const config::Services& services = *parsed.services;
   std::string error;
-  const auto target = routing::ReadTarget(asked.method, asked.path, error);
+  const auto target = routing::ParseTarget(asked.method, asked.path, error);
   if (!target) return std::fprintf(stderr, "--path: %s\n", error.c_str()), kUsage;
-  const auto authority = routing::ReadAuthority(asked.host, error);
+  const auto authority = routing::ParseAuthority(asked.host, error);
   if (!authority) return std::fprintf(stderr, "--host: %s\n", error.c_str()), kUsage;
   routing::Request request{authority->host, target->path, asked.method, asked.class_name, asked.listener};
   for (const std::string& header : asked.headers) {
@@ -145,7 +145,7 @@
   for (std::size_t i = 0; i < reasons.size(); ++i) {
     std::printf("  not %s: %s\n", services.routes[i].match.id.c_str(), reasons[i].c_str());
   }
-  for (const std::string& reading : routing::HostReadings(target->path)) {
+  for (const std::string& reading : routing::AlternativeReadings(target->path)) {
     routing::Request other = request;
     other.path = reading;
     if (services.table.Match(other) == match) continue;
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -28,7 +28,7 @@
 namespace xds = opalswitch::xds;
 namespace asio = boost::asio;
 using opalswitch::Millis;
-using opalswitch::apps::Print;
+using opalswitch::apps::PrintIssues;
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
@@ -36,7 +36,7 @@
 
 void Say(const std::string& text) { std::fprintf(stderr, "forkwick-control: %s\n", text.c_str()); }
 
-xds::ServerOptions OptionsOf(const config::Control& control) {
+xds::ServerOptions OptionsOf(const config::ControlSettings& control) {
   xds::ServerOptions options;
   options.address = control.address;
   if (control.tls) {
@@ -83,7 +83,7 @@
   int port() const { return server_->port(); }
 
   void Reload(std::shared_ptr<const config::Services> services) {
-    const config::Control &old = services_->control, &now_wanted = services->control;
+    const config::ControlSettings &old = services_->control, &now_wanted = services->control;
     if (old.address != now_wanted.address || old.socket != now_wanted.socket ||
         old.lease != now_wanted.lease || old.heartbeat != now_wanted.heartbeat ||
         old.proxies != now_wanted.proxies || old.drains != now_wanted.drains) {
@@ -136,7 +136,7 @@
 
 int Run(const std::string& path) {
   const auto first = config::LoadServices(path);
-  if (!first.services) return Print(first.issues, stderr), kFailed;
+  if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
   asio::io_context io(1);
   Running running(io, first.services);
   std::unique_ptr<gw::FileWatch> watch;
@@ -144,12 +144,12 @@
     const auto next = config::LoadServices(path);
     if (!next.services) {
       Say("not reloaded, " + std::to_string(next.issues.size()) + " faults in the file:");
-      return Print(next.issues, stderr);
+      return PrintIssues(next.issues, stderr);
     }
     running.Reload(next.services);
     Say("reloaded " + path);
   };
-  if (first.services->watch) watch = std::make_unique<gw::FileWatch>(io, path, reload);
+  if (first.services->watches_file) watch = std::make_unique<gw::FileWatch>(io, path, reload);
   const std::string& address = first.services->control.address;
   Say("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(running.port()));
   RunLoop(
@@ -193,7 +193,7 @@
     if (file.empty())
       return std::fprintf(stderr, "forkwick-control: --config or --socket is missing\n"), kUsage;
     const auto parsed = config::LoadServices(file);
-    if (!parsed.services) return Print(parsed.issues, stderr), kFailed;
+    if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
     socket = parsed.services->control.socket;
   }
   if (status->parsed()) return xds::ShowStatus(socket, json);
--- a/src/apps/run_loop.cpp
+++ b/src/apps/run_loop.cpp
@@ -23,7 +23,7 @@
   io.run();
 }
 
-void Print(const std::vector<config::Issue>& issues, std::FILE* to) {
+void PrintIssues(const std::vector<config::Issue>& issues, std::FILE* to) {
   for (const config::Issue& issue : issues) std::fprintf(to, "%s\n", issue.ToText().c_str());
 }
 
--- a/src/apps/run_loop.hpp
+++ b/src/apps/run_loop.hpp
@@ -17,7 +17,7 @@
 void RunLoop(boost::asio::io_context& io, const std::function<void(std::function<void()>)>& stop,
              const std::function<void()>& reload);
 
-void Print(const std::vector<config::Issue>& issues, std::FILE* to);
+void PrintIssues(const std::vector<config::Issue>& issues, std::FILE* to);
 
 std::uint64_t RandomSeed();
 
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -14,7 +14,7 @@
 
 namespace opalswitch::config {
 
-class Fields;
+class TableReader;
 struct Issues;
 
 // Proxies that are told the same. A list that is empty takes any; patterns may end in '*'.
@@ -32,7 +32,7 @@
   std::vector<std::string> client_names;  // that a proxy's certificate must hold one of; empty = any
 };
 
-struct Control {
+struct ControlSettings {
   std::string address = "127.0.0.1:18000";
   std::string socket;          // of `status` and `drain`: a path, in the file's folder unless absolute
   std::string drains;          // a file that keeps operators' drains over a restart; empty = none
@@ -48,14 +48,14 @@
 
 // Reads the table. `pools` and `listeners` are the ids that there are; relative paths are taken from
 // `folder`.
-Control ReadControl(Fields& fields, Issues& issues, const std::vector<std::string>& pools,
-                    const std::vector<std::string>& listeners, const std::string& folder);
+ControlSettings ReadControl(TableReader& fields, Issues& issues, const std::vector<std::string>& pools,
+                            const std::vector<std::string>& listeners, const std::string& folder);
 
 // A path of the file's: taken from its folder unless it is absolute.
 std::string PathIn(const std::string& folder, const std::string& file);
 
 // Whether a pattern, which may end in '*', takes a name.
-bool Takes(const std::string& pattern, const std::string& name);
+bool MatchesPattern(const std::string& pattern, const std::string& name);
 
 }  // namespace opalswitch::config
 
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "base/endpoint.hpp"
-#include "config/toml_fields.hpp"
+#include "config/toml_reader.hpp"
 #include "routing/target.hpp"
 
 namespace opalswitch::config {
@@ -50,19 +50,19 @@
       : services_(services), issues_(issues), folder_(std::move(folder)) {}
 
   void Read(const toml::table& root) {
-    Fields top(root, "", issues_);
+    TableReader top(root, "", issues_);
     if (const auto* const table = top.Table("process")) ReadProcess(*table);
     if (const auto* const table = top.Table("request")) ReadHeaders(*table);
-    Each(top, "listener", kMostListeners, [&](Fields& f) { ReadListener(f); });
-    Each(top, "class", 64, [&](Fields& f) { ReadClass(f); });
-    Each(top, "tenant", 10000, [&](Fields& f) { ReadTenant(f); });
-    Each(top, "pool", kMostPools, [&](Fields& f) { ReadPool(f); });
-    Each(top, "route", kMostRoutes, [&](Fields& f) { ReadRoute(f); });
+    Each(top, "listener", kMostListeners, [&](TableReader& f) { ReadListener(f); });
+    Each(top, "class", 64, [&](TableReader& f) { ReadClass(f); });
+    Each(top, "tenant", 10000, [&](TableReader& f) { ReadTenant(f); });
+    Each(top, "pool", kMostPools, [&](TableReader& f) { ReadPool(f); });
+    Each(top, "route", kMostRoutes, [&](TableReader& f) { ReadRoute(f); });
     if (const auto* const table = top.Table("control")) {
       std::vector<std::string> pools, listeners;
       for (const Pool& pool : services_.pools) pools.push_back(pool.id);
       for (const Listener& listener : services_.listeners) listeners.push_back(listener.id);
-      Fields f(*table, "control", issues_);
+      TableReader f(*table, "control", issues_);
       services_.control = ReadControl(f, issues_, pools, listeners, folder_);
     }
     for (const auto& [list, expected] : std::initializer_list<std::pair<const char*, const char*>>{
@@ -70,7 +70,7 @@
              {"class", "a [[class]] of requests"},
              {"pool", "a [[pool]] of hosts"},
              {"route", "a [[route]] that leads to a pool"}}) {
-      if (!top.Has(list)) top.Missing(list, expected);
+      if (!top.Has(list)) top.AddMissing(list, expected);
     }
     CheckGuarantees(top);
     CheckRoutes();
@@ -78,54 +78,55 @@
 
  private:
   template <typename ReadOne>
-  void Each(Fields& top, const char* key, std::size_t most, ReadOne read) {
+  void Each(TableReader& top, const char* key, std::size_t most, ReadOne read) {
     const auto tables = top.Tables(key);
-    if (tables.size() > most) return top.Say(key, "more than " + std::to_string(most) + " of them");
+    if (tables.size() > most) return top.AddIssue(key, "more than " + std::to_string(most) + " of them");
     for (std::size_t i = 0; i < tables.size(); ++i) {
       // Named by its id as far as there is one: a place in a list is hard to count to.
       std::string name = std::string(key) + "[" + std::to_string(i) + "]";
       if (const auto* const id = tables[i]->get_as<std::string>("id"))
         name = std::string(key) + "." + id->get();
-      Fields fields(*tables[i], name, issues_);
+      TableReader fields(*tables[i], name, issues_);
       read(fields);
     }
   }
 
   // An id that no other of its kind has.
-  std::string TakeId(Fields& f, const char* kind, bool needed = true) {
+  std::string TakeId(TableReader& f, const char* kind, bool needed = true) {
     auto id = f.Name("id");
     if (!id) {
-      if (needed && !f.Has("id")) f.Missing("id", std::string("a name for the ") + kind);
+      if (needed && !f.Has("id")) f.AddMissing("id", std::string("a name for the ") + kind);
       return {};
     }
     const auto [entry, added] = ids_.try_emplace(std::string(kind) + " " + *id, f.at().begin.line);
     if (!added) {
-      f.Say("id", "found " + Quoted(*id) + ", which the " + kind + " in line " +
-                      std::to_string(entry->second) + " has already, expected an id of its own");
+      f.AddIssue("id", "found " + Quoted(*id) + ", which the " + kind + " in line " +
+                           std::to_string(entry->second) + " has already, expected an id of its own");
     }
     return *id;
   }
 
   void ReadProcess(const toml::table& table) {
-    Fields f(table, "process", issues_);
-    services_.descriptors = static_cast<std::size_t>(f.Whole("descriptors", 64, 10000000).value_or(1024));
+    TableReader f(table, "process", issues_);
+    services_.descriptors = static_cast<std::size_t>(f.Integer("descriptors", 64, 10000000).value_or(1024));
     services_.memory = f.Size("memory").value_or(128 << 20);
-    services_.watch = f.Flag("watch").value_or(false);
-    services_.tell_cause = f.Flag("tell_cause").value_or(true);
-    services_.health_path = f.Text("health_path").value_or("");
+    services_.watches_file = f.Flag("watch").value_or(false);
+    services_.reports_cause = f.Flag("tell_cause").value_or(true);
+    services_.health_path = f.String("health_path").value_or("");
     std::string error;
     if (!services_.health_path.empty() &&
-        routing::NormalisePath(services_.health_path, error) != services_.health_path) {
-      f.Wrong("health_path", "a path in its normal form, such as \"/up\"");
-    }
-    gateways_ = static_cast<int>(f.Whole("gateways", 1, 100000).value_or(1));
-    index_ = static_cast<int>(f.Whole("index", 0, 99999).value_or(-1));
-    if (index_ >= gateways_) f.Wrong("index", "a number below gateways (" + std::to_string(gateways_) + ")");
-    zone_ = f.Text("zone").value_or("");
+        routing::NormalizePath(services_.health_path, error) != services_.health_path) {
+      f.AddInvalid("health_path", "a path in its normal form, such as \"/up\"");
+    }
+    gateways_ = static_cast<int>(f.Integer("gateways", 1, 100000).value_or(1));
+    index_ = static_cast<int>(f.Integer("index", 0, 99999).value_or(-1));
+    if (index_ >= gateways_)
+      f.AddInvalid("index", "a number below gateways (" + std::to_string(gateways_) + ")");
+    zone_ = f.String("zone").value_or("");
   }
 
   void ReadHeaders(const toml::table& table) {
-    Fields f(table, "request", issues_);
+    TableReader f(table, "request", issues_);
     RequestHeaders& h = services_.headers;
     for (const auto& [key, to] :
          std::initializer_list<std::pair<const char*, std::string*>>{{"id_header", &h.id},
@@ -134,46 +135,46 @@
                                                                      {"key_header", &h.key},
                                                                      {"deadline_header", &h.deadline},
                                                                      {"retry_header", &h.retry}}) {
-      *to = f.Text(key).value_or("");
-      if (!to->empty() && !IsToken(*to)) f.Wrong(key, "a header's name");
+      *to = f.String(key).value_or("");
+      if (!to->empty() && !IsToken(*to)) f.AddInvalid(key, "a header's name");
     }
   }
 
-  void ReadListener(Fields& f) {
+  void ReadListener(TableReader& f) {
     Listener listener;
     listener.id = TakeId(f, "listener");
-    listener.address = f.Need("address", f.Address("address"), "an IP address and port to listen at");
+    listener.address = f.Required("address", f.Address("address"), "an IP address and port to listen at");
     for (const Listener& other : services_.listeners) {
       if (listener.address.port() != 0 && other.address == listener.address) {
-        f.Wrong("address", "one that listener " + Quoted(other.id) + " does not have");
+        f.AddInvalid("address", "one that listener " + Quoted(other.id) + " does not have");
       }
     }
     services_.listeners.push_back(listener);
   }
 
-  std::vector<std::string> Methods(Fields& f) {
-    auto methods = f.Texts("methods");
+  std::vector<std::string> Methods(TableReader& f) {
+    auto methods = f.Strings("methods");
     for (const std::string& method : methods) {
       if (!IsToken(method) || method == "CONNECT" || method == "TRACE") {
-        f.Wrong("methods", "HTTP methods, in capitals; CONNECT and TRACE are never passed on");
+        f.AddInvalid("methods", "HTTP methods, in capitals; CONNECT and TRACE are never passed on");
         break;
       }
     }
     return methods;
   }
 
-  void ReadClass(Fields& f) {
+  void ReadClass(TableReader& f) {
     ServiceClass c;
     ClassSettings& s = c.settings;
     s.name = TakeId(f, "class");
-    s.effect = static_cast<Effect>(f.Need("effect", f.Choice("effect", {"safe", "keyed", "unsafe"}),
-                                          "\"safe\", \"keyed\" or \"unsafe\""));
+    s.effect = static_cast<Effect>(f.Required("effect", f.Choice("effect", {"safe", "keyed", "unsafe"}),
+                                              "\"safe\", \"keyed\" or \"unsafe\""));
     if (!f.Has("effect")) s.effect = Effect::kUnsafe;
-    s.aim = f.Need("aim", f.Duration("aim"), "a time with its unit: an answer within it is in time");
+    s.aim = f.Required("aim", f.Duration("aim"), "a time with its unit: an answer within it is in time");
     s.deadline =
-        f.Need("deadline", f.Duration("deadline"), "a time with its unit: a client's whole patience");
+        f.Required("deadline", f.Duration("deadline"), "a time with its unit: a client's whole patience");
     if (s.aim > 0 && s.deadline > 0 && s.aim > s.deadline)
-      f.Wrong("aim", "a time no longer than the deadline");
+      f.AddInvalid("aim", "a time no longer than the deadline");
     s.worth = f.Number("worth", 0, 1e6).value_or(1);
     // A client that waits to its deadline gets an answer until then, unless the operators say it is worth
     // nothing.
@@ -181,17 +182,17 @@
     s.group = static_cast<Group>(f.Choice("group", {"all", "zone", "cell"}).value_or(0));
     s.repeat_window = f.Duration("repeat_window", true).value_or(0);
     if (s.effect == Effect::kKeyed && s.repeat_window <= 0 && !f.Has("repeat_window")) {
-      f.Missing("repeat_window", "a time with its unit: how long hosts drop repeats of a keyed request");
+      f.AddMissing("repeat_window", "a time with its unit: how long hosts drop repeats of a keyed request");
     }
     if (s.effect != Effect::kKeyed && (f.Has("group") || f.Has("repeat_window"))) {
-      f.Say(f.Has("group") ? "group" : "repeat_window", "only a keyed class has one");
+      f.AddIssue(f.Has("group") ? "group" : "repeat_window", "only a keyed class has one");
     }
     c.methods = Methods(f);
     if (c.methods.empty() && s.effect == Effect::kSafe) c.methods = {"GET", "HEAD", "OPTIONS"};
     services_.classes.push_back(std::move(c));
   }
 
-  void ReadTenant(Fields& f) {
+  void ReadTenant(TableReader& f) {
     Tenant tenant;
     tenant.id = TakeId(f, "tenant");
     tenant.share = f.Number("share", 0, 1e9).value_or(0);
@@ -208,113 +209,114 @@
     return OneOf(services_.classes, [](const ServiceClass& c) { return c.settings.name; });
   }
 
-  Portion ReadPortion(Fields& f, const char* key, bool bytes) {
-    Portion portion;
+  BudgetShare ReadBudgetShare(TableReader& f, const char* key, bool bytes) {
+    BudgetShare portion;
     const toml::table* const table = f.Table(key);
     if (table == nullptr) return portion;
-    Fields p(*table, f.PathOf(key), issues_);
+    TableReader p(*table, f.PathOf(key), issues_);
     const auto amount = [&](const char* name) -> std::uint64_t {
       if (bytes) return p.Size(name).value_or(0);
-      return static_cast<std::uint64_t>(p.Whole(name, 1, 10000000).value_or(0));
+      return static_cast<std::uint64_t>(p.Integer(name, 1, 10000000).value_or(0));
     };
     portion.guaranteed = amount("guaranteed");
-    portion.most = amount("most");
-    if (portion.most > 0 && portion.most < portion.guaranteed)
-      p.Wrong("most", "no less than what is guaranteed");
+    portion.max = amount("most");
+    if (portion.max > 0 && portion.max < portion.guaranteed)
+      p.AddInvalid("most", "no less than what is guaranteed");
     return portion;
   }
 
-  void ReadHosts(Fields& f, Pool& pool) {
+  void ReadHosts(TableReader& f, Pool& pool) {
     std::set<std::string> seen;
     const auto tables = f.Tables("host");
     for (std::size_t i = 0; i < tables.size(); ++i) {
-      Fields h(*tables[i], f.PathOf("host[" + std::to_string(i) + "]"), issues_);
+      TableReader h(*tables[i], f.PathOf("host[" + std::to_string(i) + "]"), issues_);
       gateway::Host host;
-      host.address = h.Need("address", h.Address("address"), "the host's IP address and port");
+      host.address = h.Required("address", h.Address("address"), "the host's IP address and port");
       const std::string address = gateway::ToText(host.address);
       host.server.id = h.Name("id").value_or(address);
-      host.server.zone = h.Text("zone").value_or("");
-      host.server.kind = h.Text("kind").value_or("");
-      host.server.cell = h.Text("cell").value_or("");
+      host.server.zone = h.String("zone").value_or("");
+      host.server.kind = h.String("kind").value_or("");
+      host.server.cell = h.String("cell").value_or("");
       host.server.weight = h.Number("weight", 0.001, 10000).value_or(1);
       host.server.state =
           h.Choice("state", {"up", "draining"}).value_or(0) == 0 ? ServerState::kUp : ServerState::kDraining;
       if (!seen.insert(host.server.id).second) {
-        h.Say(h.Has("id") ? "id" : "address",
-              "found " + Quoted(host.server.id) + " a second time in this pool");
+        h.AddIssue(h.Has("id") ? "id" : "address",
+                   "found " + Quoted(host.server.id) + " a second time in this pool");
       }
       // One node has one id in all pools: a drain that one of them is told of reaches it in the others.
       const auto [known, added] = nodes_.try_emplace(address, host.server.id);
       if (!added && known->second != host.server.id && h.Has("address")) {
-        h.Say("address", "found " + Quoted(address) + ", which is host " + Quoted(known->second) +
-                             " elsewhere in this file, expected the same id for the same node");
+        h.AddIssue("address", "found " + Quoted(address) + ", which is host " + Quoted(known->second) +
+                                  " elsewhere in this file, expected the same id for the same node");
       }
       pool.membership.hosts.push_back(std::move(host));
     }
   }
 
-  void ReadMembership(Fields& f, Pool& pool) {
+  void ReadMembership(TableReader& f, Pool& pool) {
     Membership& m = pool.membership;
     const toml::table* const table = f.Table("membership");
     if (table != nullptr) {
-      Fields s(*table, f.PathOf("membership"), issues_);
-      const auto source = s.Need("source", s.Choice("source", {"static", "file", "discovery"}),
-                                 "\"static\", \"file\" or \"discovery\"");
+      TableReader s(*table, f.PathOf("membership"), issues_);
+      const auto source = s.Required("source", s.Choice("source", {"static", "file", "discovery"}),
+                                     "\"static\", \"file\" or \"discovery\"");
       m.source = static_cast<Membership::Source>(source);
       if (m.source == Membership::Source::kFile)
-        m.file = PathIn(folder_, s.Need("file", s.Text("file"), "the path of a list of hosts"));
+        m.file = PathIn(folder_, s.Required("file", s.String("file"), "the path of a list of hosts"));
       if (m.source == Membership::Source::kDiscovery) {
         m.discovery =
-            s.Need("address", s.Address("address"), "the IP address and port of a discovery service");
+            s.Required("address", s.Address("address"), "the IP address and port of a discovery service");
       }
     }
     if (m.source == Membership::Source::kStatic) {
       if (!f.Has("host"))
-        f.Missing("host", "a [[pool.host]] with an address, or a [pool.membership] that names a source");
+        f.AddMissing("host", "a [[pool.host]] with an address, or a [pool.membership] that names a source");
     } else if (f.Has("host")) {
-      f.Say("host", "hosts are listed in the file only where the membership's source is \"static\"");
+      f.AddIssue("host", "hosts are listed in the file only where the membership's source is \"static\"");
     }
     ReadHosts(f, pool);
   }
 
-  void ReadPool(Fields& f) {
+  void ReadPool(TableReader& f) {
     Pool pool;
     pool.id = TakeId(f, "pool");
     ReadMembership(f, pool);
     std::int64_t in_flight = 0, queue = 0;
-    pool.request_body = pool.answer_body = kUsualMessage;
+    pool.max_request_bytes = pool.max_response_bytes = kUsualMessage;
     if (const auto* const table = f.Table("limits")) {
-      Fields l(*table, f.PathOf("limits"), issues_);
-      in_flight = l.Whole("in_flight", 1, 1000000).value_or(0);
-      queue = l.Whole("queue", 0, 1000000).value_or(-1);
-      if (l.Has("queue") && in_flight == 0) l.Say("queue", "a bound on the queue needs in_flight beside it");
-      pool.gate.requests_per_s = l.Number("requests_per_second", 0.001, 1e9).value_or(0);
-      pool.gate.burst = l.Number("burst", 1, 1e9).value_or(0);
-      if (l.Has("burst") && pool.gate.requests_per_s == 0)
-        l.Say("burst", "a burst needs requests_per_second beside it");
-      pool.reread_per_s = l.Number("refused_per_second", 1, 1e9).value_or(pool.reread_per_s);
-      pool.request_body = std::min(l.Size("request_body").value_or(kUsualMessage), kMostMessage + 1);
-      pool.answer_body = std::min(l.Size("answer_body").value_or(kUsualMessage), kMostMessage + 1);
+      TableReader l(*table, f.PathOf("limits"), issues_);
+      in_flight = l.Integer("in_flight", 1, 1000000).value_or(0);
+      queue = l.Integer("queue", 0, 1000000).value_or(-1);
+      if (l.Has("queue") && in_flight == 0)
+        l.AddIssue("queue", "a bound on the queue needs in_flight beside it");
+      pool.limits.requests_per_s = l.Number("requests_per_second", 0.001, 1e9).value_or(0);
+      pool.limits.burst = l.Number("burst", 1, 1e9).value_or(0);
+      if (l.Has("burst") && pool.limits.requests_per_s == 0)
+        l.AddIssue("burst", "a burst needs requests_per_second beside it");
+      pool.refusal_reads_per_s = l.Number("refused_per_second", 1, 1e9).value_or(pool.refusal_reads_per_s);
+      pool.max_request_bytes = std::min(l.Size("request_body").value_or(kUsualMessage), kMostMessage + 1);
+      pool.max_response_bytes = std::min(l.Size("answer_body").value_or(kUsualMessage), kMostMessage + 1);
       for (const char* const key : {"request_body", "answer_body"}) {
-        if ((key[0] == 'r' ? pool.request_body : pool.answer_body) > kMostMessage)
-          l.Wrong(key, "16MiB at most");
+        if ((key[0] == 'r' ? pool.max_request_bytes : pool.max_response_bytes) > kMostMessage)
+          l.AddInvalid(key, "16MiB at most");
       }
-      pool.descriptors = ReadPortion(l, "descriptors", false);
-      pool.clients = ReadPortion(l, "clients", false);
-      pool.body_memory = ReadPortion(l, "body_memory", true);
+      pool.descriptors = ReadBudgetShare(l, "descriptors", false);
+      pool.clients = ReadBudgetShare(l, "clients", false);
+      pool.body_memory = ReadBudgetShare(l, "body_memory", true);
     }
-    if (in_flight > 0 && queue >= 0) pool.gate.held = static_cast<std::size_t>(in_flight + queue);
+    if (in_flight > 0 && queue >= 0) pool.limits.held = static_cast<std::size_t>(in_flight + queue);
     pool.dial_timeout = 250;
     pool.idle_timeout = 15000;
     if (const auto* const table = f.Table("timeouts")) {
-      Fields t(*table, f.PathOf("timeouts"), issues_);
+      TableReader t(*table, f.PathOf("timeouts"), issues_);
       pool.dial_timeout = t.Duration("dial").value_or(250);
       pool.idle_timeout = t.Duration("idle").value_or(15000);
     }
-    pool.answers = static_cast<Answers>(f.Choice("answers", {"plain", "platform"}).value_or(0));
-    pool.strict = f.Choice("drain", {"static", "strict"}).value_or(0) == 1;
+    pool.response_rules = static_cast<ResponseRules>(f.Choice("answers", {"plain", "platform"}).value_or(0));
+    pool.strict_drain = f.Choice("drain", {"static", "strict"}).value_or(0) == 1;
     Settings& s = pool.settings;
-    s.max_attempts = static_cast<int>(f.Whole("attempts", 1, 16).value_or(3));
+    s.max_attempts = static_cast<int>(f.Integer("attempts", 1, 16).value_or(3));
     s.most_out = static_cast<int>(in_flight);
     s.gateways = gateways_;
     s.index = index_;
@@ -323,12 +325,12 @@
     s.retry_after = true;
     s.max_retry_after = 30000;
     s.marks_retry = !services_.headers.retry.empty();
-    s.report_fields = f.Texts("load_report");
+    s.report_fields = f.Strings("load_report");
     if (const auto* const table = f.Table("cold")) {
-      Fields c(*table, f.PathOf("cold"), issues_);
+      TableReader c(*table, f.PathOf("cold"), issues_);
       s.cold_from =
-          c.Need("from", c.Number("from", 0.001, 1), "the part of its work that a started host can do");
-      s.cold_for = c.Need("for", c.Duration("for"), "the time until a started host can do all of it");
+          c.Required("from", c.Number("from", 0.001, 1), "the part of its work that a started host can do");
+      s.cold_for = c.Required("for", c.Duration("for"), "the time until a started host can do all of it");
       s.fall_multiple = c.Number("fall_multiple", 0.1, 1000).value_or(3);
       if (!(s.cold_from > 0)) s.cold_from = 1;
     }
@@ -340,40 +342,40 @@
     services_.pools.push_back(std::move(pool));
   }
 
-  void ReadEffects(Fields& f, const toml::table& table, Settings& s) {
-    Fields e(table, f.PathOf("effects"), issues_);
+  void ReadEffects(TableReader& f, const toml::table& table, Settings& s) {
+    TableReader e(table, f.PathOf("effects"), issues_);
     for (const std::string& name : e.Keys()) {
       const int index = ClassIndex(name);
       const auto effect = e.Choice(name, {"safe", "keyed", "unsafe"});
       if (index < 0) {
-        e.Say(name, "there is no class " + Quoted(name) + ", expected " + ClassNames());
+        e.AddIssue(name, "there is no class " + Quoted(name) + ", expected " + ClassNames());
         continue;
       }
       if (!effect) continue;
       ClassSettings& c = s.classes[static_cast<std::size_t>(index)];
       const auto wanted = static_cast<Effect>(*effect);
       if (Strictness(wanted) < Strictness(c.effect)) {
-        e.Wrong(name, "what is no looser than the class itself, which says \"" +
-                          std::string(c.effect == Effect::kUnsafe ? "unsafe" : "keyed") + "\"");
+        e.AddInvalid(name, "what is no looser than the class itself, which says \"" +
+                               std::string(c.effect == Effect::kUnsafe ? "unsafe" : "keyed") + "\"");
         continue;
       }
       if (wanted == Effect::kKeyed && c.effect == Effect::kSafe) {
-        e.Wrong(name, "\"unsafe\": a safe class has no window in which hosts drop repeats");
+        e.AddInvalid(name, "\"unsafe\": a safe class has no window in which hosts drop repeats");
         continue;
       }
       c.effect = wanted;
     }
   }
 
-  void ReadShares(Fields& f, const toml::table& table, Settings& s) {
-    Fields t(table, f.PathOf("shares"), issues_);
+  void ReadShares(TableReader& f, const toml::table& table, Settings& s) {
+    TableReader t(table, f.PathOf("shares"), issues_);
     for (const std::string& name : t.Keys()) {
       const auto found = std::find_if(s.tenants.begin(), s.tenants.end(),
                                       [&](const TenantSettings& tenant) { return tenant.name == name; });
       const auto share = t.Number(name, 0, 1e9);
       if (found == s.tenants.end()) {
-        t.Say(name, "there is no tenant " + Quoted(name) + ", expected " +
-                        OneOf(services_.tenants, [](const Tenant& tenant) { return tenant.id; }));
+        t.AddIssue(name, "there is no tenant " + Quoted(name) + ", expected " +
+                             OneOf(services_.tenants, [](const Tenant& tenant) { return tenant.id; }));
       } else if (share) {
         found->quota_per_s = *share;
       }
@@ -394,14 +396,14 @@
         << s.most_out << ' ' << s.cold_from << ' ' << s.cold_for << ' ' << s.fall_multiple << ' '
         << s.marks_retry << '\n';
     for (const std::string& field : s.report_fields) out << "report " << field << '\n';
-    out << "gate " << pool.gate.requests_per_s << ' ' << pool.gate.burst << ' ' << pool.gate.held << ' '
-        << pool.reread_per_s << '\n';
-    for (const Portion* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
-      out << "portion " << p->guaranteed << ' ' << p->most << '\n';
+    out << "gate " << pool.limits.requests_per_s << ' ' << pool.limits.burst << ' ' << pool.limits.held << ' '
+        << pool.refusal_reads_per_s << '\n';
+    for (const BudgetShare* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
+      out << "portion " << p->guaranteed << ' ' << p->max << '\n';
     }
-    out << "bodies " << pool.request_body << ' ' << pool.answer_body << '\n';
+    out << "bodies " << pool.max_request_bytes << ' ' << pool.max_response_bytes << '\n';
     out << "times " << pool.dial_timeout << ' ' << pool.idle_timeout << '\n';
-    out << "answers " << static_cast<int>(pool.answers) << '\n';
+    out << "answers " << static_cast<int>(pool.response_rules) << '\n';
     const Membership& m = pool.membership;
     out << "source " << static_cast<int>(m.source) << ' ' << m.file << ' ' << m.discovery << '\n';
     pool.definition = out.str();
@@ -410,7 +412,7 @@
   std::optional<std::string> HostPattern(std::string text) {
     const bool suffix = text.starts_with("*.");
     std::string error;
-    const auto authority = routing::ReadAuthority(suffix ? text.substr(2) : text, error);
+    const auto authority = routing::ParseAuthority(suffix ? text.substr(2) : text, error);
     if (!authority || authority->host.empty() || authority->port ||
         authority->host.find('*') != std::string::npos || (suffix && authority->host[0] == '[')) {
       return std::nullopt;
@@ -418,12 +420,12 @@
     return (suffix ? "*." : "") + authority->host;
   }
 
-  void AddPaths(Fields& f, const char* key, bool prefix, routing::Route& match) {
-    for (const std::string& text : f.Texts(key)) {
+  void AddPaths(TableReader& f, const char* key, bool prefix, routing::Route& match) {
+    for (const std::string& text : f.Strings(key)) {
       std::string error;
-      auto path = routing::NormalisePath(text, error);
+      auto path = routing::NormalizePath(text, error);
       if (!path) {
-        f.Wrong(key, "a path (" + error + ")");
+        f.AddInvalid(key, "a path (" + error + ")");
         continue;
       }
       if (prefix && path->ends_with('/')) path->pop_back();  // "/a/" and "/a" are one prefix, "/" is all
@@ -431,85 +433,86 @@
     }
   }
 
-  void ReadRoute(Fields& f) {
+  void ReadRoute(TableReader& f) {
     RouteRule rule;
     routing::Route& match = rule.match;
     match.id = TakeId(f, "route", /*needed=*/false);
     if (match.id.empty()) match.id = "route-" + std::to_string(services_.routes.size() + 1);
-    for (std::string& text : f.Texts("host")) {
+    for (std::string& text : f.Strings("host")) {
       if (auto pattern = HostPattern(text)) {
         match.hosts.push_back(std::move(*pattern));
       } else {
-        f.Wrong("host", "a host's name without a port, or \"*.\" and the end of one");
+        f.AddInvalid("host", "a host's name without a port, or \"*.\" and the end of one");
       }
     }
     AddPaths(f, "path", false, match);
     AddPaths(f, "prefix", true, match);
     match.methods = Methods(f);
     for (const toml::table* const table : f.Tables("header")) {
-      Fields h(*table, f.PathOf("header"), issues_);
+      TableReader h(*table, f.PathOf("header"), issues_);
       routing::HeaderCondition condition;
-      condition.name = h.Need("name", h.Text("name"), "a header's name");
-      if (h.Has("name") && !IsToken(condition.name)) h.Wrong("name", "a header's name");
-      if (auto value = h.Text("equals")) {
+      condition.name = h.Required("name", h.String("name"), "a header's name");
+      if (h.Has("name") && !IsToken(condition.name)) h.AddInvalid("name", "a header's name");
+      if (auto value = h.String("equals")) {
         condition.kind = routing::HeaderCondition::Kind::kEquals;
         condition.value = *value;
       }
       if (const auto present = h.Flag("present")) {
-        if (h.Has("equals")) h.Say("present", "a condition has either equals or present");
+        if (h.Has("equals")) h.AddIssue("present", "a condition has either equals or present");
         condition.kind =
             *present ? routing::HeaderCondition::Kind::kPresent : routing::HeaderCondition::Kind::kAbsent;
       }
       match.headers.push_back(std::move(condition));
     }
-    match.listeners = f.Texts("listener");
+    match.listeners = f.Strings("listener");
     for (const std::string& name : match.listeners) {
       const bool known = std::any_of(services_.listeners.begin(), services_.listeners.end(),
                                      [&](const Listener& l) { return l.id == name; });
-      if (!known) f.Wrong("listener", OneOf(services_.listeners, [](const Listener& l) { return l.id; }));
+      if (!known)
+        f.AddInvalid("listener", OneOf(services_.listeners, [](const Listener& l) { return l.id; }));
     }
-    match.classes = f.Texts("stated_class");
+    match.classes = f.Strings("stated_class");
     for (const std::string& name : match.classes) {
-      if (ClassIndex(name) < 0) f.Wrong("stated_class", ClassNames());
+      if (ClassIndex(name) < 0) f.AddInvalid("stated_class", ClassNames());
     }
     if (!match.classes.empty() && services_.headers.class_name.empty()) {
-      f.Say("stated_class",
-            "clients state no class unless request.class_header names the header that holds it");
+      f.AddIssue("stated_class",
+                 "clients state no class unless request.class_header names the header that holds it");
     }
     ReadRouteTarget(f, rule);
     places_.push_back({f.at(), f.PathOf("")});
     services_.routes.push_back(std::move(rule));
   }
 
-  void ReadRouteTarget(Fields& f, RouteRule& rule) {
-    const auto pool = f.Text("pool");
+  void ReadRouteTarget(TableReader& f, RouteRule& rule) {
+    const auto pool = f.String("pool");
     const auto found = std::find_if(services_.pools.begin(), services_.pools.end(),
                                     [&](const Pool& p) { return pool && p.id == *pool; });
-    if (!pool && !f.Has("pool")) f.Missing("pool", "the id of a pool");
+    if (!pool && !f.Has("pool")) f.AddMissing("pool", "the id of a pool");
     if (pool && found == services_.pools.end()) {
-      f.Wrong("pool", "the id of a pool, " + OneOf(services_.pools, [](const Pool& p) { return p.id; }));
+      f.AddInvalid("pool", "the id of a pool, " + OneOf(services_.pools, [](const Pool& p) { return p.id; }));
     }
     rule.pool =
         found == services_.pools.end() ? 0 : static_cast<std::size_t>(found - services_.pools.begin());
-    const auto name = f.Text("class");
+    const auto name = f.String("class");
     if (name) {
       rule.class_index = ClassIndex(*name);
-      if (rule.class_index < 0) f.Wrong("class", "the id of a class, " + ClassNames());
+      if (rule.class_index < 0) f.AddInvalid("class", "the id of a class, " + ClassNames());
     } else if (!f.Has("class") && services_.headers.class_name.empty()) {
-      f.Missing("class",
-                "the id of a class, as request.class_header names no header by which clients state it");
+      f.AddMissing("class",
+                   "the id of a class, as request.class_header names no header by which clients state it");
     }
     if (rule.class_index < 0 || rule.match.methods.empty()) return;
     const ServiceClass& c = services_.classes[static_cast<std::size_t>(rule.class_index)];
     for (const std::string& method : rule.match.methods) {
       if (!c.methods.empty() && std::find(c.methods.begin(), c.methods.end(), method) == c.methods.end()) {
-        f.Say("methods", "class " + Quoted(c.settings.name) + " does not come by " + method +
-                             "; name its methods in the class if it does");
+        f.AddIssue("methods", "class " + Quoted(c.settings.name) + " does not come by " + method +
+                                  "; name its methods in the class if it does");
       }
     }
   }
 
-  void CheckGuarantees(Fields& top) {
+  void CheckGuarantees(TableReader& top) {
     std::uint64_t descriptors = 0, clients = 0, memory = 0;
     for (const Pool& p : services_.pools) {
       descriptors += p.descriptors.guaranteed;
@@ -519,8 +522,9 @@
     const auto check = [&](std::uint64_t sum, double part, double all, const char* what, const char* of) {
       const auto most = static_cast<std::uint64_t>(part * all);
       if (sum <= most) return;
-      top.Say("pool", "the pools' guaranteed " + std::string(what) + " add up to " + std::to_string(sum) +
-                          ", expected at most " + std::to_string(most) + ", " + of);
+      top.AddIssue("pool", "the pools' guaranteed " + std::string(what) + " add up to " +
+                               std::to_string(sum) + ", expected at most " + std::to_string(most) + ", " +
+                               of);
     };
     const auto all = static_cast<double>(services_.descriptors);
     check(descriptors, 0.4, all, "descriptors", "40% of process.descriptors");
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -59,14 +59,14 @@
 };
 
 // Part of a budget that all pools share.
-struct Portion {
+struct BudgetShare {
   std::uint64_t guaranteed = 0;
-  std::uint64_t most = 0;  // 0 = whatever is free
-  bool operator==(const Portion&) const = default;
+  std::uint64_t max = 0;  // 0 = whatever is free
+  bool operator==(const BudgetShare&) const = default;
 };
 
 // What an answer of a pool's hosts means.
-enum class Answers {
+enum class ResponseRules {
   kPlain,     // below 500: served, whatever it says. 5xx: an error, which may have run
   kPlatform,  // 200: served. Else an error; 503 and 504 with Srv-Declined never ran
 };
@@ -75,13 +75,13 @@
   std::string id;
   Membership membership;
   Settings settings;  // of its module: classes with the pool's own effects, tenants with its shares
-  limits::PoolLimits gate;
-  double reread_per_s = 250;  // connections that were turned away, read from again each second
-  Portion descriptors, clients, body_memory;
-  std::uint64_t request_body = 0, answer_body = 0;
+  limits::PoolLimits limits;
+  double refusal_reads_per_s = 250;  // connections that were turned away, read from again each second
+  BudgetShare descriptors, clients, body_memory;
+  std::uint64_t max_request_bytes = 0, max_response_bytes = 0;
   Millis dial_timeout = 0, idle_timeout = 0;
-  Answers answers = Answers::kPlain;
-  bool strict = false;  // proxies that forkwick-control can't tell of a drain stop using the pool
+  ResponseRules response_rules = ResponseRules::kPlain;
+  bool strict_drain = false;  // proxies that forkwick-control can't tell of a drain stop using the pool
   std::string
       definition;  // all but the static hosts, as one text: pools with equal ones are kept at a reload
 };
@@ -102,11 +102,11 @@
   std::string file;
   std::size_t descriptors = 1024;
   std::uint64_t memory = 128 << 20;
-  bool watch = false;       // follow changes of the file itself
-  std::string health_path;  // by which GET asks whether the gateway is ready; empty = none
-  bool tell_cause = true;   // the gateway's own refusals and failures say why
+  bool watches_file = false;  // follow changes of the file itself
+  std::string health_path;    // by which GET asks whether the gateway is ready; empty = none
+  bool reports_cause = true;  // the gateway's own refusals and failures say why
   RequestHeaders headers;
-  Control control;
+  ControlSettings control;
   std::vector<Listener> listeners;
   std::vector<ServiceClass> classes;
   std::vector<Tenant> tenants;
--- a/src/config/toml_fields.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "config/toml_fields.hpp"
+#include "config/toml_reader.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::string Shown(const toml::node& node) {
+std::string FormatValue(const toml::node& node) {
   std::ostringstream out;
   if (const auto* const written = node.as_string()) {
     out << '"' << written->get() << '"';
@@ -48,10 +48,10 @@
   return text;
 }
 
-Fields::Fields(const toml::table& table, std::string path, Issues& issues)
+TableReader::TableReader(const toml::table& table, std::string path, Issues& issues)
     : table_(table), path_(std::move(path)), issues_(issues) {}
 
-Fields::~Fields() {
+TableReader::~TableReader() {
   for (const auto& [key, node] : table_) {
     const std::string_view name = key.str();
     if (known_.contains(name)) continue;
@@ -74,116 +74,118 @@
   }
 }
 
-std::string Fields::PathOf(std::string_view key) const {
+std::string TableReader::PathOf(std::string_view key) const {
   return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-const toml::node* Fields::Get(std::string_view key) {
+const toml::node* TableReader::Get(std::string_view key) {
   known_.emplace(key);
   return table_.get(key);
 }
 
-void Fields::Wrong(std::string_view key, const std::string& expected) {
+void TableReader::AddInvalid(std::string_view key, const std::string& expected) {
   const toml::node* const node = Get(key);
-  if (node == nullptr) return Missing(key, expected);
-  issues_.Add(node->source(), PathOf(key), "found " + Shown(*node) + ", expected " + expected);
+  if (node == nullptr) return AddMissing(key, expected);
+  issues_.Add(node->source(), PathOf(key), "found " + FormatValue(*node) + ", expected " + expected);
 }
 
-void Fields::Say(std::string_view key, const std::string& text) {
+void TableReader::AddIssue(std::string_view key, const std::string& text) {
   const toml::node* const node = Get(key);
   issues_.Add(node == nullptr ? table_.source() : node->source(), PathOf(key), text);
 }
 
-void Fields::Missing(std::string_view key, const std::string& expected) {
+void TableReader::AddMissing(std::string_view key, const std::string& expected) {
   known_.emplace(key);
   issues_.Add(table_.source(), PathOf(key), "missing, expected " + expected);
 }
 
-std::optional<std::string> Fields::Text(std::string_view key) {
+std::optional<std::string> TableReader::String(std::string_view key) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   const auto* const text = node->as_string();
-  if (text == nullptr) return Wrong(key, "a text in quotes"), std::nullopt;
+  if (text == nullptr) return AddInvalid(key, "a text in quotes"), std::nullopt;
   return text->get();
 }
 
-std::optional<std::string> Fields::Name(std::string_view key) {
-  auto text = Text(key);
+std::optional<std::string> TableReader::Name(std::string_view key) {
+  auto text = String(key);
   if (!text) return std::nullopt;
   const bool good =
       !text->empty() && text->size() <= 64 && std::all_of(text->begin(), text->end(), [](char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
                c == '_' || c == '-';
       });
-  if (!good) return Wrong(key, "a name of up to 64 letters, digits, '.', '_' or '-'"), std::nullopt;
+  if (!good) return AddInvalid(key, "a name of up to 64 letters, digits, '.', '_' or '-'"), std::nullopt;
   return text;
 }
 
-std::optional<double> Fields::Number(std::string_view key, double least, double most) {
+std::optional<double> TableReader::Number(std::string_view key, double least, double most) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   std::optional<double> value;
   if (const auto* const whole = node->as_integer()) value = static_cast<double>(whole->get());
   if (const auto* const real = node->as_floating_point()) value = real->get();
   if (!value || !std::isfinite(*value) || *value < least || *value > most) {
-    return Wrong(key, "a number from " + Short(least) + " to " + Short(most)), std::nullopt;
+    return AddInvalid(key, "a number from " + Short(least) + " to " + Short(most)), std::nullopt;
   }
   return value;
 }
 
-std::optional<std::int64_t> Fields::Whole(std::string_view key, std::int64_t least, std::int64_t most) {
+std::optional<std::int64_t> TableReader::Integer(std::string_view key, std::int64_t least,
+                                                 std::int64_t most) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   const auto* const whole = node->as_integer();
   if (whole == nullptr || whole->get() < least || whole->get() > most) {
-    return Wrong(key, "a whole number from " + std::to_string(least) + " to " + std::to_string(most)),
+    return AddInvalid(key, "a whole number from " + std::to_string(least) + " to " + std::to_string(most)),
            std::nullopt;
   }
   return whole->get();
 }
 
-std::optional<bool> Fields::Flag(std::string_view key) {
+std::optional<bool> TableReader::Flag(std::string_view key) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   const auto* const flag = node->as_boolean();
-  if (flag == nullptr) return Wrong(key, "true or false"), std::nullopt;
+  if (flag == nullptr) return AddInvalid(key, "true or false"), std::nullopt;
   return flag->get();
 }
 
-std::optional<Millis> Fields::Duration(std::string_view key, bool zero) {
+std::optional<Millis> TableReader::Duration(std::string_view key, bool zero) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   const auto* const text = node->as_string();
   const auto value = text == nullptr ? std::nullopt : ParseDuration(text->get());
   if (!value || (*value <= 0 && !zero) || *value > 24 * 3600000.0) {
-    return Wrong(key, std::string("a time with its unit, such as \"250ms\" or \"1.5s\", ") +
-                          (zero ? "up to a day" : "above 0 and up to a day")),
+    return AddInvalid(key, std::string("a time with its unit, such as \"250ms\" or \"1.5s\", ") +
+                               (zero ? "up to a day" : "above 0 and up to a day")),
            std::nullopt;
   }
   return value;
 }
 
-std::optional<std::uint64_t> Fields::Size(std::string_view key) {
+std::optional<std::uint64_t> TableReader::Size(std::string_view key) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   const auto* const text = node->as_string();
   const auto value = text == nullptr ? std::nullopt : ParseSize(text->get());
   if (!value || *value == 0)
-    return Wrong(key, "a size with its unit, such as \"64KiB\" or \"128MiB\""), std::nullopt;
+    return AddInvalid(key, "a size with its unit, such as \"64KiB\" or \"128MiB\""), std::nullopt;
   return value;
 }
 
-std::optional<boost::asio::ip::tcp::endpoint> Fields::Address(std::string_view key) {
-  const auto text = Text(key);
+std::optional<boost::asio::ip::tcp::endpoint> TableReader::Address(std::string_view key) {
+  const auto text = String(key);
   if (!text) return std::nullopt;
   const auto address = gateway::ParseEndpoint(*text);
   if (!address)
-    return Wrong(key, "an IP address and port, such as \"127.0.0.1:8080\" or \"[::1]:8080\""), std::nullopt;
+    return AddInvalid(key, "an IP address and port, such as \"127.0.0.1:8080\" or \"[::1]:8080\""),
+           std::nullopt;
   return address;
 }
 
-std::optional<std::size_t> Fields::Choice(std::string_view key,
-                                          const std::vector<std::string_view>& choices) {
+std::optional<std::size_t> TableReader::Choice(std::string_view key,
+                                               const std::vector<std::string_view>& choices) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return std::nullopt;
   if (const auto* const text = node->as_string()) {
@@ -197,10 +199,10 @@
                                            : ", ") +
                 ("\"" + std::string(choices[i]) + "\"");
   }
-  return Wrong(key, expected), std::nullopt;
+  return AddInvalid(key, expected), std::nullopt;
 }
 
-std::vector<std::string> Fields::Texts(std::string_view key) {
+std::vector<std::string> TableReader::Strings(std::string_view key) {
   const toml::node* const node = Get(key);
   std::vector<std::string> texts;
   if (node == nullptr) return texts;
@@ -209,31 +211,31 @@
   const bool good =
       array != nullptr && !array->empty() &&
       std::all_of(array->begin(), array->end(), [](const toml::node& item) { return item.is_string(); });
-  if (!good) return Wrong(key, "a text or a list of texts, not empty"), texts;
+  if (!good) return AddInvalid(key, "a text or a list of texts, not empty"), texts;
   for (const toml::node& item : *array) texts.push_back(item.as_string()->get());
   return texts;
 }
 
-const toml::table* Fields::Table(std::string_view key) {
+const toml::table* TableReader::Table(std::string_view key) {
   const toml::node* const node = Get(key);
   if (node == nullptr) return nullptr;
-  if (!node->is_table()) Wrong(key, "a table, as [" + PathOf(key) + "] begins one");
+  if (!node->is_table()) AddInvalid(key, "a table, as [" + PathOf(key) + "] begins one");
   return node->as_table();
 }
 
-std::vector<const toml::table*> Fields::Tables(std::string_view key) {
+std::vector<const toml::table*> TableReader::Tables(std::string_view key) {
   const toml::node* const node = Get(key);
   std::vector<const toml::table*> tables;
   if (node == nullptr) return tables;
   const auto* const array = node->as_array();
   const bool good = array != nullptr && std::all_of(array->begin(), array->end(),
                                                     [](const toml::node& item) { return item.is_table(); });
-  if (!good) return Wrong(key, "tables, as [[" + PathOf(key) + "]] begins one"), tables;
+  if (!good) return AddInvalid(key, "tables, as [[" + PathOf(key) + "]] begins one"), tables;
   for (const toml::node& item : *array) tables.push_back(item.as_table());
   return tables;
 }
 
-std::vector<std::string> Fields::Keys() {
+std::vector<std::string> TableReader::Keys() {
   std::vector<std::string> keys;
   for (const auto& [key, node] : table_) {
     keys.emplace_back(key.str());
--- a/src/config/toml_fields.hpp
+++ b/src/config/toml_reader.hpp
@@ -1,7 +1,8 @@
 // Reads the fields of TOML tables, and notes all that is wrong with them: unknown keys, wrong types, values
-// without their unit. One Fields a table; whoever reads on gets defaults, so that one run finds every fault.
-#ifndef OPALSWITCH_CONFIG_TOML_FIELDS_HPP_
-#define OPALSWITCH_CONFIG_TOML_FIELDS_HPP_
+// without their unit. One TableReader a table; whoever reads on gets defaults, so that one run finds every
+// fault.
+#ifndef OPALSWITCH_CONFIG_TOML_READER_HPP_
+#define OPALSWITCH_CONFIG_TOML_READER_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -34,21 +35,21 @@
   }
 };
 
-class Fields {
+class TableReader {
  public:
-  // `path` names the table in issues. Unknown keys are told when the Fields ends.
-  Fields(const toml::table& table, std::string path, Issues& issues);
-  ~Fields();
-  Fields(const Fields&) = delete;
-  Fields& operator=(const Fields&) = delete;
+  // `path` names the table in issues. Unknown keys are told when the TableReader ends.
+  TableReader(const toml::table& table, std::string path, Issues& issues);
+  ~TableReader();
+  TableReader(const TableReader&) = delete;
+  TableReader& operator=(const TableReader&) = delete;
 
   bool Has(std::string_view key) const { return table_.contains(key); }
 
   // Each reads one field. Absent: nothing, without an issue. Wrong: nothing, with one.
-  std::optional<std::string> Text(std::string_view key);
+  std::optional<std::string> String(std::string_view key);
   std::optional<std::string> Name(std::string_view key);  // letters, digits, '.', '_', '-'; 64 at most
   std::optional<double> Number(std::string_view key, double least, double most);
-  std::optional<std::int64_t> Whole(std::string_view key, std::int64_t least, std::int64_t most);
+  std::optional<std::int64_t> Integer(std::string_view key, std::int64_t least, std::int64_t most);
   std::optional<bool> Flag(std::string_view key);
   std::optional<Millis> Duration(std::string_view key, bool zero = false);
   std::optional<std::uint64_t> Size(std::string_view key);
@@ -56,21 +57,21 @@
   // The place of the text in `choices`.
   std::optional<std::size_t> Choice(std::string_view key, const std::vector<std::string_view>& choices);
   // One text or a list of them.
-  std::vector<std::string> Texts(std::string_view key);
+  std::vector<std::string> Strings(std::string_view key);
   const toml::table* Table(std::string_view key);
   std::vector<const toml::table*> Tables(std::string_view key);  // [[key]]
 
   // The same, but absent is an issue.
   template <typename T>
-  T Need(std::string_view key, std::optional<T> value, const char* expected) {
-    if (!value && !Has(key)) Missing(key, expected);
+  T Required(std::string_view key, std::optional<T> value, const char* expected) {
+    if (!value && !Has(key)) AddMissing(key, expected);
     return value.value_or(T{});
   }
 
   // An issue at a field, or at the table if the field is not there.
-  void Wrong(std::string_view key, const std::string& expected);
-  void Say(std::string_view key, const std::string& text);
-  void Missing(std::string_view key, const std::string& expected);
+  void AddInvalid(std::string_view key, const std::string& expected);
+  void AddIssue(std::string_view key, const std::string& text);
+  void AddMissing(std::string_view key, const std::string& expected);
 
   // All keys of the table, for tables whose keys are names.
   std::vector<std::string> Keys();
@@ -87,8 +88,8 @@
 };
 
 // The text of a value as the file has it, shortened, for messages.
-std::string Shown(const toml::node& node);
+std::string FormatValue(const toml::node& node);
 
 }  // namespace opalswitch::config
 
-#endif  // OPALSWITCH_CONFIG_TOML_FIELDS_HPP_
+#endif  // OPALSWITCH_CONFIG_TOML_READER_HPP_
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -54,8 +54,8 @@
   explicit Member(const config::Pool& from)
       : id(from.id),
         definition(from.definition),
-        gate(from.gate),
-        pacer(std::make_shared<limits::Pacer>(from.reread_per_s, kMostPause)) {}
+        gate(from.limits),
+        pacer(std::make_shared<limits::Pacer>(from.refusal_reads_per_s, kMostPause)) {}
 
   const std::string id;
   const std::string definition;
@@ -102,7 +102,7 @@
                 },
                 [this](const HttpRequest& head, const routing::Target& target, const Origin& origin,
                        Call& call) { return Admit(head, target, origin, call); },
-                [this] { return snapshot_->services->tell_cause; }},
+                [this] { return snapshot_->services->reports_cause; }},
                services->health_path),
       stop_(io, clients_, [this] {
         for (const auto& member : snapshot_->members) member->pool->FailRest();
@@ -125,8 +125,8 @@
 std::shared_ptr<ServiceGateway::Member> ServiceGateway::MakeMember(const config::Pool& from) {
   auto member = std::make_shared<Member>(from);
   member->number = ++made_;
-  const auto most = [](const config::Portion& portion) {
-    return portion.most > 0 ? portion.most : limits::SharedBudget::kNoMost;
+  const auto most = [](const config::BudgetShare& portion) {
+    return portion.max > 0 ? portion.max : limits::SharedBudget::kNoMost;
   };
   // Guarantees follow once the new file holds.
   member->descriptors = descriptors_.Join(0, most(from.descriptors));
@@ -140,16 +140,17 @@
   upstream.dial_timeout = from.dial_timeout;
   upstream.idle_timeout = from.idle_timeout;
   upstream.connections = static_cast<std::size_t>(all);
-  upstream.answer_body = from.answer_body;
-  upstream.plain = from.answers == config::Answers::kPlain;
+  upstream.answer_body = from.max_response_bytes;
+  upstream.plain = from.response_rules == config::ResponseRules::kPlain;
   upstream.take_socket = [this, party = member->descriptors] { return descriptors_.Take(party); };
   upstream.give_socket = [this, party = member->descriptors, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) descriptors_.Give(party);
   };
   try {
     member->pool = std::make_shared<Pool>(
-        io_, Pool::Options{from.id, std::move(settings), seed_ ^ (0x9e3779b97f4a7c15ULL * made_),
-                           std::move(upstream), from.answers == config::Answers::kPlain, nullptr});
+        io_,
+        Pool::Options{from.id, std::move(settings), seed_ ^ (0x9e3779b97f4a7c15ULL * made_),
+                      std::move(upstream), from.response_rules == config::ResponseRules::kPlain, nullptr});
   } catch (const std::exception& error) {
     descriptors_.Leave(member->descriptors);
     places_.Leave(member->places);
@@ -172,7 +173,7 @@
 // Deals out the budgets anew: what pools ask for is theirs; of what is left, half goes to the others in equal
 // parts, and the rest to whoever needs it.
 void ServiceGateway::Share(const Snapshot& snapshot) {
-  const auto deal = [&](limits::SharedBudget& budget, config::Portion config::Pool::*portion,
+  const auto deal = [&](limits::SharedBudget& budget, config::BudgetShare config::Pool::*portion,
                         limits::SharedBudget::Party Member::*party) {
     const auto& pools = snapshot.services->pools;
     std::uint64_t asked = 0, silent = 0;
@@ -183,9 +184,9 @@
     const auto half = static_cast<std::uint64_t>(static_cast<double>(budget.total()) * kSharedPart);
     const std::uint64_t each = silent > 0 && half > asked ? (half - asked) / silent : 0;
     for (std::size_t i = 0; i < pools.size(); ++i) {
-      const config::Portion& p = pools[i].*portion;
+      const config::BudgetShare& p = pools[i].*portion;
       budget.Change(*snapshot.members[i].*party, p.guaranteed > 0 ? p.guaranteed : each,
-                    p.most > 0 ? p.most : limits::SharedBudget::kNoMost);
+                    p.max > 0 ? p.max : limits::SharedBudget::kNoMost);
     }
   };
   deal(descriptors_, &config::Pool::descriptors, &Member::descriptors);
@@ -348,7 +349,7 @@
     if (count == 1) request.headers.push_back({name, View(head[name])});
   }
   const auto match = services.table.Match(request);
-  for (const std::string& reading : routing::HostReadings(target.path)) {
+  for (const std::string& reading : routing::AlternativeReadings(target.path)) {
     routing::Request other = request;
     other.path = reading;
     if (services.table.Match(other) != match) {
@@ -417,7 +418,7 @@
                   static_cast<unsigned long long>(++ids_));
     call.id = id;
   }
-  call.most_body = pool.request_body;
+  call.most_body = pool.max_request_bytes;
   return std::nullopt;
 }
 
--- a/src/http/message_rules.cpp
+++ b/src/http/message_rules.cpp
@@ -44,9 +44,9 @@
   if (hosts > 1) return bad("Host is repeated");
   if (hosts == 0 && head.version() >= 11) return bad("Host is missing");
   std::string error;
-  auto read = routing::ReadTarget(method, View(head.target()), error);
+  auto read = routing::ParseTarget(method, View(head.target()), error);
   if (!read) return bad(error);
-  const auto host = routing::ReadAuthority(hosts > 0 ? View(head[http::field::host]) : "", error);
+  const auto host = routing::ParseAuthority(hosts > 0 ? View(head[http::field::host]) : "", error);
   if (!host) return bad("Host: " + error);
   // RFC 9112 3.2.2: the authority of an absolute target counts, and Host is ignored.
   if (read->form != routing::Form::kAbsolute) read->authority = *host;
@@ -58,7 +58,8 @@
   if (target.form == routing::Form::kAbsolute || http.count(http::field::host) == 0) {
     http.set(http::field::host, ToText(target.authority));  // HTTP/1.0 needs none, and a host does
   }
-  if (target.form == routing::Form::kAbsolute || !target.normal) http.target(target.path + target.query);
+  if (target.form == routing::Form::kAbsolute || !target.is_normalized)
+    http.target(target.path + target.query);
 }
 
 }  // namespace opalswitch::gateway
--- a/src/http/platform_call.cpp
+++ b/src/http/platform_call.cpp
@@ -53,7 +53,7 @@
     return fault(http::status::not_found, "no such path");
   }
   // Paths go on unchanged here: one that has a second form could be another path to the host.
-  if (!target.normal) return fault(http::status::bad_request, "the path is not in its normal form");
+  if (!target.is_normalized) return fault(http::status::bad_request, "the path is not in its normal form");
   // Of two fields with one name, this gateway and a host might each believe another.
   for (const char* const name : {"Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Retry",
                                  "Req-Cost", "Req-Extra", "Idempotency-Key"}) {
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -136,9 +136,9 @@
   target.query = text.substr(mark);
   if (!target.query.empty() && !CheckQuery(text.substr(mark + 1), error)) return false;
   const std::string_view path = text.substr(0, mark);
-  auto normal = NormalisePath(path, error);
+  auto normal = NormalizePath(path, error);
   if (!normal) return false;
-  target.normal = *normal == path;
+  target.is_normalized = *normal == path;
   target.path = std::move(*normal);
   return true;
 }
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-std::optional<std::string> NormalisePath(std::string_view path, std::string& error) {
+std::optional<std::string> NormalizePath(std::string_view path, std::string& error) {
   if (path.empty() || path[0] != '/') return error = "a path begins with a slash", std::nullopt;
   // Nearly all paths are in their normal form.
   bool usual = true;
@@ -186,7 +186,7 @@
   return any || slow ? WithoutDots(coded) : std::move(coded);
 }
 
-std::vector<std::string> HostReadings(std::string_view path) {
+std::vector<std::string> AlternativeReadings(std::string_view path) {
   std::vector<std::string> readings;
   if (path.find_first_of("%;") == std::string_view::npos) return readings;
   const auto add = [&](std::string decoded) {
@@ -226,7 +226,7 @@
   return readings;
 }
 
-std::optional<Authority> ReadAuthority(std::string_view text, std::string& error) {
+std::optional<Authority> ParseAuthority(std::string_view text, std::string& error) {
   Authority authority;
   if (text.empty()) return authority;
   if (text.find('@') != std::string_view::npos)
@@ -268,11 +268,11 @@
   return authority;
 }
 
-std::optional<Target> ReadTarget(std::string_view method, std::string_view text, std::string& error) {
+std::optional<Target> ParseTarget(std::string_view method, std::string_view text, std::string& error) {
   Target target;
   if (method == "CONNECT") {
     target.form = Form::kAuthority;
-    auto authority = ReadAuthority(text, error);
+    auto authority = ParseAuthority(text, error);
     if (!authority) return std::nullopt;
     if (!authority->port || authority->host.empty())
       return error = "CONNECT takes a host and a port", std::nullopt;
@@ -296,7 +296,7 @@
   target.form = Form::kAbsolute;
   const std::string_view rest = text.substr(colon + 3);
   const std::size_t end = std::min(rest.find_first_of("/?#"), rest.size());
-  auto authority = ReadAuthority(rest.substr(0, end), error);
+  auto authority = ParseAuthority(rest.substr(0, end), error);
   if (!authority) return std::nullopt;
   if (authority->host.empty()) return error = "an http URI names a host", std::nullopt;  // RFC 9110 4.2.1
   target.authority = *authority;
--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -41,7 +41,7 @@
   const auto& groups = services_->control.groups;
   const auto takes = [](const std::vector<std::string>& patterns, const std::string& name) {
     return patterns.empty() || std::any_of(patterns.begin(), patterns.end(), [&](const std::string& pattern) {
-             return config::Takes(pattern, name);
+             return config::MatchesPattern(pattern, name);
            });
   };
   for (const config::ControlGroup& group : groups) {
@@ -58,7 +58,7 @@
   std::set<std::string> strict;
   std::map<std::string, std::unique_ptr<Pool>> pools;
   for (const config::Pool& from : services_->pools) {
-    if (from.strict) strict.insert(from.id);
+    if (from.strict_drain) strict.insert(from.id);
     const auto found = pools_.find(from.id);
     if (found != pools_.end() && found->second->definition == from.definition) {
       pools[from.id] = std::move(found->second);
@@ -395,7 +395,7 @@
 std::vector<Control::PoolStatus> Control::Status(Millis now) const {
   std::vector<PoolStatus> all;
   for (const config::Pool& pool : services_->pools) {
-    all.push_back({pool.id, pool.strict, pools_.at(pool.id)->decider.Status(now)});
+    all.push_back({pool.id, pool.strict_drain, pools_.at(pool.id)->decider.Status(now)});
   }
   return all;
 }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -931,7 +931,7 @@
     std::string error;
     gateway::Call call;
     const auto fault = gateway::CheckPlatformCall({{"view", Effect::kSafe}}, http,
-                                                  *routing::ReadTarget("GET", "/api", error), call);
+                                                  *routing::ParseTarget("GET", "/api", error), call);
     EXPECT_FALSE(fault) << fault->text;
     return call.cost;
   };
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -16,7 +16,7 @@
 
 std::string Normal(std::string_view path) {
   std::string error;
-  return routing::NormalisePath(path, error).value_or("refused: " + error);
+  return routing::NormalizePath(path, error).value_or("refused: " + error);
 }
 
 TEST(Paths, HaveOneNormalForm) {
@@ -66,7 +66,7 @@
           random() % 40 == 0 ? std::string(1, static_cast<char>(random())) : parts[random() % parts.size()];
     }
     std::string error;
-    const auto normal = routing::NormalisePath(path, error);
+    const auto normal = routing::NormalizePath(path, error);
     if (!normal) {
       EXPECT_FALSE(error.empty());
       continue;
@@ -75,7 +75,7 @@
     EXPECT_EQ(Normal(*normal), *normal) << path;
     EXPECT_EQ(normal->find("//"), std::string::npos) << path;
     EXPECT_EQ((*normal + "/").find("/../"), std::string::npos) << path;
-    for (const std::string& reading : routing::HostReadings(*normal)) {
+    for (const std::string& reading : routing::AlternativeReadings(*normal)) {
       EXPECT_EQ((reading + "/").find("/../"), std::string::npos) << path;
       EXPECT_NE(reading, *normal);
     }
@@ -85,11 +85,11 @@
 
 TEST(Paths, TellWhatAHostMayTakeThemFor) {
   const auto has = [](std::string_view path, const std::string& reading) {
-    const auto all = routing::HostReadings(path);
+    const auto all = routing::AlternativeReadings(path);
     return std::find(all.begin(), all.end(), reading) != all.end();
   };
-  EXPECT_TRUE(routing::HostReadings("/a/b").empty());
-  EXPECT_TRUE(routing::HostReadings("/a%20b").empty());
+  EXPECT_TRUE(routing::AlternativeReadings("/a/b").empty());
+  EXPECT_TRUE(routing::AlternativeReadings("/a%20b").empty());
   EXPECT_TRUE(has("/a%2Fb", "/a/b"));
   EXPECT_TRUE(has("/files/..%2Fadmin", "/admin"));
   EXPECT_TRUE(has("/a/..;x/admin", "/admin"));
@@ -114,7 +114,7 @@
   };
   for (const TargetCase& c : cases) {
     std::string error;
-    const auto target = routing::ReadTarget(c.method, c.text, error);
+    const auto target = routing::ParseTarget(c.method, c.text, error);
     ASSERT_TRUE(target) << c.text << ": " << error;
     EXPECT_EQ(target->authority.host, c.host) << c.text;
     EXPECT_EQ(target->path, c.path) << c.text;
@@ -143,7 +143,7 @@
   };
   for (const auto& [method, text] : cases) {
     std::string error;
-    EXPECT_FALSE(routing::ReadTarget(method, text, error)) << text;
+    EXPECT_FALSE(routing::ParseTarget(method, text, error)) << text;
     EXPECT_FALSE(error.empty()) << text;
   }
 }
@@ -151,7 +151,7 @@
 TEST(Authorities, AreFoldedAndChecked) {
   const auto read = [](std::string_view text) {
     std::string error;
-    const auto authority = routing::ReadAuthority(text, error);
+    const auto authority = routing::ParseAuthority(text, error);
     return authority ? authority->host + (authority->port ? ":" + std::to_string(*authority->port) : "")
                      : "refused";
   };
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -61,12 +61,12 @@
   const config::Pool& pool = s.pools[0];
   EXPECT_EQ(pool.settings.max_attempts, 2);
   EXPECT_EQ(pool.settings.most_out, 7);
-  EXPECT_EQ(pool.gate.held, 10u);
-  EXPECT_EQ(pool.gate.requests_per_s, 5);
-  EXPECT_EQ(pool.answer_body, 1u << 20);
-  EXPECT_EQ(pool.request_body, 64u << 10);
+  EXPECT_EQ(pool.limits.held, 10u);
+  EXPECT_EQ(pool.limits.requests_per_s, 5);
+  EXPECT_EQ(pool.max_response_bytes, 1u << 20);
+  EXPECT_EQ(pool.max_request_bytes, 64u << 10);
   EXPECT_EQ(pool.clients.guaranteed, 9u);
-  EXPECT_EQ(pool.clients.most, 20u);
+  EXPECT_EQ(pool.clients.max, 20u);
   EXPECT_EQ(pool.dial_timeout, 1000);
   EXPECT_EQ(pool.settings.classes[0].effect, Effect::kUnsafe);  // the pool's
   EXPECT_EQ(s.classes[0].settings.effect, Effect::kSafe);       // the class's
