--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -12,9 +12,9 @@
 
 #include "apps/run_loop.hpp"
 #include "base/clock.hpp"
-#include "base/file_watch.hpp"
+#include "base/file_watcher.hpp"
 #include "config/services.hpp"
-#include "membership/source.hpp"
+#include "membership/host_source.hpp"
 #include "xds/control.hpp"
 #include "xds/drain_file.hpp"
 #include "xds/operators.hpp"
@@ -28,7 +28,7 @@
 namespace xds = opalswitch::xds;
 namespace asio = boost::asio;
 using opalswitch::Millis;
-using opalswitch::apps::Print;
+using opalswitch::apps::PrintIssues;
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
@@ -36,7 +36,7 @@
 
 void Say(const std::string& text) { std::fprintf(stderr, "forkwick-control: %s\n", text.c_str()); }
 
-xds::ServerOptions OptionsOf(const config::Control& control) {
+xds::ServerOptions OptionsOf(const config::ControlSettings& control) {
   xds::ServerOptions options;
   options.address = control.address;
   if (control.tls) {
@@ -83,7 +83,7 @@
   int port() const { return server_->port(); }
 
   void Reload(std::shared_ptr<const config::Services> services) {
-    const config::Control &old = services_->control, &now_wanted = services->control;
+    const config::ControlSettings &old = services_->control, &now_wanted = services->control;
     if (old.address != now_wanted.address || old.socket != now_wanted.socket ||
         old.lease != now_wanted.lease || old.heartbeat != now_wanted.heartbeat ||
         old.proxies != now_wanted.proxies || old.drains != now_wanted.drains) {
@@ -98,31 +98,31 @@
   // Sources of pools whose definition stays are kept, those of others begin anew.
   void Follow(const config::Services& services) {
     std::map<std::string, Followed> next;
-    std::vector<gw::Source*> begin;
+    std::vector<gw::HostSource*> begin;
     for (const config::Pool& pool : services.pools) {
       const auto found = sources_.find(pool.id);
       if (found != sources_.end() && found->second.definition == pool.definition) {
         next[pool.id] = std::move(found->second);
-        next[pool.id].source->Change(pool.membership.hosts);
+        next[pool.id].source->SetStaticHosts(pool.membership.hosts);
         continue;
       }
-      gw::Source::Handlers handlers{
+      gw::HostSource::Handlers handlers{
           [this, id = pool.id](const gw::HostList& list) {
             server_->With([&](xds::Hub&, Millis now) { return control_->Told(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
       Followed& to = next[pool.id];
       to.definition = pool.definition;
-      to.source = gw::MakeSource(io_, pool.membership, std::move(handlers));
+      to.source = gw::MakeHostSource(io_, pool.membership, std::move(handlers));
       begin.push_back(to.source.get());
     }
     sources_ = std::move(next);
-    for (gw::Source* const source : begin) source->Start();
+    for (gw::HostSource* const source : begin) source->Start();
   }
 
   struct Followed {
     std::string definition;
-    std::unique_ptr<gw::Source> source;
+    std::unique_ptr<gw::HostSource> source;
   };
 
   asio::io_context& io_;
@@ -136,20 +136,20 @@
 
 int Run(const std::string& path) {
   const auto first = config::LoadServices(path);
-  if (!first.services) return Print(first.issues, stderr), kFailed;
+  if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
   asio::io_context io(1);
   Running running(io, first.services);
-  std::unique_ptr<gw::FileWatch> watch;
+  std::unique_ptr<gw::FileWatcher> watch;
   const auto reload = [&] {
     const auto next = config::LoadServices(path);
     if (!next.services) {
       Say("not reloaded, " + std::to_string(next.issues.size()) + " faults in the file:");
-      return Print(next.issues, stderr);
+      return PrintIssues(next.issues, stderr);
     }
     running.Reload(next.services);
     Say("reloaded " + path);
   };
-  if (first.services->watch) watch = std::make_unique<gw::FileWatch>(io, path, reload);
+  if (first.services->watches_file) watch = std::make_unique<gw::FileWatcher>(io, path, reload);
   const std::string& address = first.services->control.address;
   Say("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(running.port()));
   RunLoop(
@@ -193,7 +193,7 @@
     if (file.empty())
       return std::fprintf(stderr, "forkwick-control: --config or --socket is missing\n"), kUsage;
     const auto parsed = config::LoadServices(file);
-    if (!parsed.services) return Print(parsed.issues, stderr), kFailed;
+    if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
     socket = parsed.services->control.socket;
   }
   if (status->parsed()) return xds::ShowStatus(socket, json);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,7 +7,7 @@
 
 #include "base/clock.hpp"
 #include "gateway/descriptors.hpp"
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 
 namespace opalswitch::gateway {
 namespace {
@@ -17,7 +17,7 @@
 // The module is told how many attempts there are descriptors for.
 Settings Fitted(const Config& config) {
   Settings settings = config.settings;
-  settings.most_out = static_cast<int>(HostSockets(config.sockets));
+  settings.max_in_flight = static_cast<int>(HostSockets(config.sockets));
   return settings;
 }
 
@@ -34,28 +34,29 @@
                             false,
                             [this] { discovery_.Watch(); }})),
       discovery_(io, config.discovery, config.known.revision,
-                 {[this](const HostList& list) { pool_->Told(list); }, [this] { ListFailed(); },
+                 {[this](const HostList& list) { pool_->UpdateMembership(list); }, [this] { ListFailed(); },
                   [](const std::string& line) { std::fprintf(stderr, "forkwick: %s\n", line.c_str()); }},
                  config.seed),
       clients_(io, LimitsFor(config.sockets, config.memory_mb),
-               {[this] { return pool_->listed() && !stop_.begun(); },
+               {[this] { return pool_->has_hosts() && !stop_.begun(); },
                 [this, classes = PlatformClasses(config.settings)](
-                    const HttpRequest& head, const routing::Target& target, const Origin&, Call& call) {
+                    const HttpRequest& head, const routing::Target& target, const RequestOrigin&,
+                    ClientRequest& call) {
                   call.pool = pool_;
-                  return CheckPlatformCall(classes, head, target, call);
+                  return ReadPlatformRequest(classes, head, target, call);
                 }},
                "/up"),
-      stop_(io, clients_, [this] { pool_->FailRest(); }) {
+      stop_(io, clients_, [this] { pool_->FailPending(); }) {
   clients_.Listen("", config.listen);
-  pool_->Told(config.known);
-  if (!settings_.ask_for_list) discovery_.Watch();
+  pool_->UpdateMembership(config.known);
+  if (!settings_.requires_watch) discovery_.Watch();
 }
 
-void Gateway::Reload(const Config& config) { discovery_.Move(config.discovery); }
+void Gateway::Reload(const Config& config) { discovery_.SetAddress(config.discovery); }
 
 void Gateway::ListFailed() {
-  pool_->ListFailed();
-  if (settings_.ask_for_list) return;  // the policy says when to ask again
+  pool_->MembershipUpdateFailed();
+  if (settings_.requires_watch) return;  // the policy says when to ask again
   discovery_.WatchLater();
 }
 
--- a/src/http/platform_call.cpp
+++ b/src/http/platform_request.cpp
@@ -1,4 +1,4 @@
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -40,27 +40,29 @@
   return good ? std::min(value / 1000, kMostAllowed) : 0;
 }
 
-Classes PlatformClasses(const Settings& settings) {
-  Classes classes;
+ClassEffects PlatformClasses(const Settings& settings) {
+  ClassEffects classes;
   for (const ClassSettings& c : settings.classes) classes[c.name] = c.effect;
   return classes;
 }
 
-std::optional<Fault> CheckPlatformCall(const Classes& classes, const HttpRequest& http,
-                                       const routing::Target& target, Call& call) {
-  const auto fault = [](http::status status, std::string text) { return Fault{status, std::move(text)}; };
+std::optional<LocalReply> ReadPlatformRequest(const ClassEffects& classes, const HttpRequest& http,
+                                              const routing::Target& target, ClientRequest& call) {
+  const auto fault = [](http::status status, std::string text) {
+    return LocalReply{status, std::move(text)};
+  };
   if (target.path != "/api" && !target.path.starts_with("/api/")) {
     return fault(http::status::not_found, "no such path");
   }
   // Paths go on unchanged here: one that has a second form could be another path to the host.
-  if (!target.normal) return fault(http::status::bad_request, "the path is not in its normal form");
+  if (!target.is_normalized) return fault(http::status::bad_request, "the path is not in its normal form");
   // Of two fields with one name, this gateway and a host might each believe another.
   for (const char* const name : {"Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Retry",
                                  "Req-Cost", "Req-Extra", "Idempotency-Key"}) {
     if (http.count(name) > 1) return fault(http::status::bad_request, std::string(name) + " is repeated");
   }
   call.id = Field(http, "Req-Id");
-  if (call.id.empty() || call.id.size() > kMostId) {
+  if (call.id.empty() || call.id.size() > kMaxRequestIdLength) {
     return fault(http::status::bad_request, "Req-Id is missing or too long");
   }
   call.class_name = Field(http, "Req-Kind");
@@ -68,16 +70,16 @@
   if (found == classes.end()) return fault(http::status::bad_request, "Req-Kind names no class");
   const auto allowed = ParseDeadline(Field(http, "Req-Deadline"));
   if (!allowed) return fault(http::status::bad_request, "Req-Deadline is missing or malformed");
-  call.allowed = *allowed;
+  call.client_timeout = *allowed;
   // A repeat of a request that is not safe must be possible to tell from its class and method alike.
   if (http.method() != (found->second == Effect::kSafe ? http::verb::get : http::verb::post)) {
-    return Fault{http::status::method_not_allowed, "the class takes another method", 0, "GET, POST"};
+    return LocalReply{http::status::method_not_allowed, "the class takes another method", 0, "GET, POST"};
   }
   if (found->second == Effect::kKeyed && http["Idempotency-Key"].empty()) {
     return fault(http::status::bad_request, "Idempotency-Key is missing");
   }
   call.tenant = Field(http, "Req-Owner");
-  call.retry = http["Req-Retry"] == "1";
+  call.is_retry = http["Req-Retry"] == "1";
   call.key = Field(http, "Req-Key");
   call.cost = ParseCost(Field(http, "Req-Cost"));
   return std::nullopt;
