--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -3,109 +3,122 @@
 
 namespace opalswitch {
 
-constexpr double kSlow = 0.01;           // weight of a new sample in a class's latency
-constexpr Millis kLeastRetryAfter = 10;  // ms; "at once" would be no advice
+constexpr double kClassLatencySmoothingFactor = 0.01;  // weight of a new sample in a class's latency
+constexpr Millis kMinRetryAfterMs = 10;                // ms; "at once" would be no advice
 
-void Policy::Impl::Dispatch(Flow& flow, Backend& b) {
-  const Millis until = classes_[flow.cls].set.late_worth > 0 ? flow.leaves_at : flow.aim_at;
+void Policy::Impl::SendAttempt(ActiveRequest& request, TrackedServer& server) {
+  const Millis deadline =
+      classes_[request.class_index].settings.late_worth > 0 ? request.client_deadline : request.aim_deadline;
   tokens_ -= 1;
-  spent_rate_ += 1000 / SpentMemory();
-  if (Budgeted(b)) b.credit -= 1;
-  ++b.in_flight;
-  if (b.suspect) Place(b);  // one trial at a time
-  ++out_now_;
-  ++b.refs;
-  flow.attempts.push_back({&b, now_});
-  Emit(Send{flow.id, b.info.id, std::max(1.0, until - now_)});
+  spent_rate_ += 1000 / SpentRateWindow();
+  if (HasSendBudget(server)) server.send_credit -= 1;
+  ++server.in_flight;
+  if (server.is_ejected) UpdateServerIndex(server);  // one trial at a time
+  ++attempts_in_flight_;
+  ++server.attempt_refs;
+  request.attempts.push_back({&server, now_});
+  EmitAction(Send{request.id, server.info.id, std::max(1.0, deadline - now_)});
 }
 
-void Policy::Impl::On(Outcome o) {
-  Flow* const known = Find(o.request);
-  if (!known || o.attempt < 0 || o.attempt >= static_cast<int>(known->attempts.size())) return;
-  Flow& flow = *known;
-  Attempt& attempt = flow.attempts[o.attempt];
-  if (!std::exchange(attempt.out, false)) return;
-  if (!std::isfinite(o.latency) || o.latency < 0) o.latency = now_ - attempt.sent;  // never into an estimate
-  attempt.may_have_run =
-      o.result != Result::kRejected && o.result != Result::kConnectFailed && o.result != Result::kNotSent;
-  Backend& b = *attempt.server;
-  --b.in_flight;
-  --out_now_;
-  if (o.result == Result::kServed) {
-    LearnClass(classes_[flow.cls], o.latency);
-    if (now_ <= flow.aim_at) classes_[flow.cls].in_time += 1;
+void Policy::Impl::HandleEvent(Outcome outcome) {
+  ActiveRequest* const found = FindRequest(outcome.request);
+  if (!found || outcome.attempt < 0 || outcome.attempt >= static_cast<int>(found->attempts.size())) return;
+  ActiveRequest& request = *found;
+  Attempt& attempt = request.attempts[outcome.attempt];
+  if (!std::exchange(attempt.in_flight, false)) return;
+  if (!std::isfinite(outcome.latency) || outcome.latency < 0)
+    outcome.latency = now_ - attempt.sent_at;  // never into an estimate
+  attempt.may_have_run = outcome.result != Result::kRejected && outcome.result != Result::kConnectFailed &&
+                         outcome.result != Result::kNotSent;
+  TrackedServer& server = *attempt.server;
+  --server.in_flight;
+  --attempts_in_flight_;
+  if (outcome.result == Result::kServed) {
+    RecordClassLatency(classes_[request.class_index], outcome.latency);
+    if (now_ <= request.aim_deadline) classes_[request.class_index].timely_count += 1;
   }
-  if (o.result != Result::kCancelled && o.result != Result::kNotSent) {  // these tell nothing of the server
-    MoveRate(b, flow, o);  // first: by whether the server was held ready until now
-    Hear(b, o.load);
-    Judge(b, flow, o);
+  if (outcome.result != Result::kCancelled &&
+      outcome.result != Result::kNotSent) {      // these tell nothing of the server
+    UpdateRefillRate(server, request, outcome);  // first: by whether the server was held ready until now
+    RecordLoadReport(server, outcome.load);
+    RecordServerOutcome(server, request, outcome);
   }
-  Place(b);
-  if (o.finished || o.result == Result::kServed) flow.answered = true;
-  if (!flow.answered && !flow.AnyOut() && !flow.queued) return TryAgain(flow, o.result);
-  Settle(flow);
+  UpdateServerIndex(server);
+  if (outcome.finished || outcome.result == Result::kServed) request.is_answered = true;
+  if (!request.is_answered && !request.HasAttemptInFlight() && !request.is_queued)
+    return RetryOrAnswer(request, outcome.result);
+  RemoveIfFinished(request);
 }
 
-void Policy::Impl::LearnCost(Millis cost) {
-  const bool first = mean_cost_ <= 0;
-  mean_cost_ += (first ? 1 : kSlow) * (cost - mean_cost_);
-  if (!first) return;
-  for (auto& [id, b] : servers_) {
-    if (b.samples > 0) continue;
-    b.limit = b.places = std::min(b.limit, StartLimit());
-    Place(b);
+void Policy::Impl::RecordEstimatedCost(Millis cost) {
+  const bool is_first = mean_estimated_cost_ <= 0;
+  mean_estimated_cost_ += (is_first ? 1 : kClassLatencySmoothingFactor) * (cost - mean_estimated_cost_);
+  if (!is_first) return;
+  for (auto& [id, server] : servers_) {
+    if (server.latency_samples > 0) continue;
+    server.concurrency_limit = server.concurrency_slots =
+        std::min(server.concurrency_limit, InitialConcurrencyLimit());
+    UpdateServerIndex(server);
   }
 }
 
-void Policy::Impl::LearnClass(Tier& c, Millis latency) {
+void Policy::Impl::RecordClassLatency(ClassState& class_state, Millis latency) {
   // Where no guess tells them apart, some requests of a hundred times the usual would speak for all.
-  if (mean_cost_ <= 0 && c.samples >= kKnown) latency = std::min(latency, kMostWork * c.latency);
-  c.latency += std::max(kSlow, 1.0 / ++c.samples) * (latency - c.latency);
-  mean_latency_ += std::max(kSlow, 1.0 / ++samples_) * (latency - mean_latency_);
+  if (mean_estimated_cost_ <= 0 && class_state.latency_samples >= kMinLatencySamples)
+    latency = std::min(latency, kMaxRelativeWork * class_state.latency_ewma);
+  class_state.latency_ewma += std::max(kClassLatencySmoothingFactor, 1.0 / ++class_state.latency_samples) *
+                              (latency - class_state.latency_ewma);
+  mean_latency_ +=
+      std::max(kClassLatencySmoothingFactor, 1.0 / ++latency_samples_) * (latency - mean_latency_);
 }
 
 // Another attempt only where it is legal, can still be in time, and the server was to blame.
-void Policy::Impl::TryAgain(Flow& flow, Result result) {
-  const ClassSettings& c = classes_[flow.cls].set;
-  const bool legal = flow.NeverRan() || c.effect != Effect::kUnsafe;
-  const bool heavy = result == Result::kTimedOut && !flow.attempts.back().server->suspect;
-  const bool in_time = now_ + classes_[flow.cls].latency < (c.late_worth > 0 ? flow.leaves_at : flow.aim_at);
-  const bool more = static_cast<int>(flow.attempts.size()) < set_.max_attempts;
-  if (!legal) return Answer(flow, Cause::kMayHaveRun);
-  if (heavy) return Answer(flow, Cause::kSlowResponse);
-  if (!in_time) return Answer(flow, Cause::kNoTimeForRetry);
-  if (!more) return Answer(flow, Cause::kAttemptsExhausted);
+void Policy::Impl::RetryOrAnswer(ActiveRequest& request, Result result) {
+  const ClassSettings& class_settings = classes_[request.class_index].settings;
+  const bool may_run_again = request.NeverRan() || class_settings.effect != Effect::kUnsafe;
+  const bool timed_out_on_available_server =
+      result == Result::kTimedOut && !request.attempts.back().server->is_ejected;
+  const bool can_be_in_time =
+      now_ + classes_[request.class_index].latency_ewma <
+      (class_settings.late_worth > 0 ? request.client_deadline : request.aim_deadline);
+  const bool has_attempts_left = static_cast<int>(request.attempts.size()) < settings_.max_attempts;
+  if (!may_run_again) return SendFinalAnswer(request, Cause::kMayHaveRun);
+  if (timed_out_on_available_server) return SendFinalAnswer(request, Cause::kSlowResponse);
+  if (!can_be_in_time) return SendFinalAnswer(request, Cause::kNoTimeForRetry);
+  if (!has_attempts_left) return SendFinalAnswer(request, Cause::kAttemptsExhausted);
   // Resends are counted only where they add to a jam, or what failed may be one: else nothing is short.
-  const bool full = result == Result::kRejected || result == Result::kTimedOut;
-  if (full || queued_ > 0 || Crowded()) {
-    if (retry_budget_ < 1) return Answer(flow, Cause::kRetryBudgetExhausted);
+  const bool may_be_overload = result == Result::kRejected || result == Result::kTimedOut;
+  if (may_be_overload || queued_requests_ > 0 || AreServersLoaded()) {
+    if (retry_budget_ < 1) return SendFinalAnswer(request, Cause::kRetryBudgetExhausted);
     retry_budget_ -= 1;
   }
-  Hold(flow, classes_[flow.cls].retries);
+  AddToQueue(request, classes_[request.class_index].retry_queue);
 }
 
 // The final answer to a request with no attempt out. A refusal says that trying again is harmless.
-void Policy::Impl::Answer(Flow& flow, Cause cause) {
-  const ClassSettings& c = classes_[flow.cls].set;
-  const bool harmless = flow.NeverRan() || c.effect == Effect::kSafe ||
-                        (c.effect == Effect::kKeyed && c.group == DeduplicationScope::kAll);
-  Emit(harmless ? Action(Refuse{flow.id, RetryAfter(), cause}) : Action(Fail{flow.id, cause}));
-  flow.answered = true;
-  Settle(flow);
+void Policy::Impl::SendFinalAnswer(ActiveRequest& request, Cause cause) {
+  const ClassSettings& class_settings = classes_[request.class_index].settings;
+  const bool retry_is_harmless =
+      request.NeverRan() || class_settings.effect == Effect::kSafe ||
+      (class_settings.effect == Effect::kKeyed && class_settings.group == DeduplicationScope::kAll);
+  EmitAction(retry_is_harmless ? Action(Refuse{request.id, RetryAfterAdvice(), cause})
+                               : Action(Fail{request.id, cause}));
+  request.is_answered = true;
+  RemoveIfFinished(request);
 }
 
-Millis Policy::Impl::RetryAfter() const {
-  if (!set_.sends_retry_after) return 0;
+Millis Policy::Impl::RetryAfterAdvice() const {
+  if (!settings_.sends_retry_after) return 0;
   // With no queue a place comes free, on average, within half of the time that an answer takes.
-  const Millis queue = 1000 * static_cast<double>(queued_) / std::max(spent_rate_, 1.0);
-  return std::min(set_.max_retry_after, std::max({queue, mean_latency_ / 2, kLeastRetryAfter}));
+  const Millis queue_drain_ms = 1000 * static_cast<double>(queued_requests_) / std::max(spent_rate_, 1.0);
+  return std::min(settings_.max_retry_after, std::max({queue_drain_ms, mean_latency_ / 2, kMinRetryAfterMs}));
 }
 
-// Forgets a request that is answered and has nothing out. `flow` may be gone afterwards.
-void Policy::Impl::Settle(Flow& flow) {
-  if (!flow.answered || flow.queued || flow.AnyOut()) return;
-  for (const Attempt& a : flow.attempts) --a.server->refs;
-  flows_.erase(flow.id);
+// Forgets a request that is answered and has nothing out. `request` may be gone afterwards.
+void Policy::Impl::RemoveIfFinished(ActiveRequest& request) {
+  if (!request.is_answered || request.is_queued || request.HasAttemptInFlight()) return;
+  for (const Attempt& a : request.attempts) --a.server->attempt_refs;
+  requests_.erase(request.id);
 }
 
 }  // namespace opalswitch
--- a/src/module/fleet.hpp
+++ b/src/module/fleet.hpp
@@ -13,99 +13,106 @@
 namespace opalswitch {
 
 // Ordered by time; of one time by the order in which the servers were first told, so that it is repeatable.
-struct Sooner {
-  bool operator()(const std::pair<Millis, Backend*>& a, const std::pair<Millis, Backend*>& b) const {
-    return a.first != b.first ? a.first < b.first : a.second->order < b.second->order;
+struct EarlierFirst {
+  bool operator()(const std::pair<Millis, TrackedServer*>& a,
+                  const std::pair<Millis, TrackedServer*>& b) const {
+    return a.first != b.first ? a.first < b.first : a.second->sequence_number < b.second->sequence_number;
   }
 };
 
-class Fleet {
+class ServerIndex {
  public:
   // Puts a server where it belongs by its up, mine, suspect, weight, limit and next trial; `warm_at` is when
   // it has warmed up. To be called after any of these changed, and whenever it may have become ready.
-  void Place(Backend& b, Millis now, Millis warm_at) {
-    const bool counts = b.up && !b.suspect, sent_to = counts && b.mine;
-    Count(weight_, b.counted_weight, counts ? b.info.weight : 0);
-    Count(all_weight_, b.counted_all, b.up ? b.info.weight : 0);
-    Count(limits_, b.counted_limit, sent_to ? b.limit : 0);
-    const bool warm = now >= warm_at;
-    Count(warm_weight_, b.counted_warm, counts && warm ? b.info.weight : 0);
-    Key(warming_, b, b.warms_at, counts && !warm, warm_at);
-    Key(resting_, b, b.wakes_at, false, 0);
-    Key(trials_, b, b.tried_at, b.up && b.mine && b.suspect && b.in_flight == 0, b.next_trial);
-    sent_to ? Open(b) : Close(b);
+  void UpdateServer(TrackedServer& server, Millis now, Millis warm_at) {
+    const bool is_available = server.is_up && !server.is_ejected,
+               receives_requests = is_available && server.in_subset;
+    UpdateSum(available_weight_, server.counted_available_weight, is_available ? server.info.weight : 0);
+    UpdateSum(up_weight_, server.counted_up_weight, server.is_up ? server.info.weight : 0);
+    UpdateSum(total_concurrency_limit_, server.counted_concurrency_limit,
+              receives_requests ? server.concurrency_limit : 0);
+    const bool is_warm = now >= warm_at;
+    UpdateSum(warm_weight_, server.counted_warm_weight, is_available && is_warm ? server.info.weight : 0);
+    UpdateTimeIndex(warming_up_, server, server.warm_up_key, is_available && !is_warm, warm_at);
+    UpdateTimeIndex(backing_off_, server, server.backoff_key, false, 0);
+    UpdateTimeIndex(probes_, server, server.probe_key,
+                    server.is_up && server.in_subset && server.is_ejected && server.in_flight == 0,
+                    server.next_probe_at);
+    receives_requests ? MarkReady(server) : MarkNotReady(server);
   }
 
   // Servers that may be ready, in no order.
-  std::size_t open() const { return open_.size(); }
-  Backend& At(std::size_t i) const { return *open_[i]; }
+  std::size_t ready_count() const { return ready_.size(); }
+  TrackedServer& ready_server(std::size_t i) const { return *ready_[i]; }
   // It can't be ready before it is placed again ...
-  void Close(Backend& b) {
-    if (b.open_at == Backend::kNowhere) return;
-    open_[b.open_at] = open_.back();
-    open_[b.open_at]->open_at = b.open_at;
-    open_.pop_back();
-    b.open_at = Backend::kNowhere;
+  void MarkNotReady(TrackedServer& server) {
+    if (server.ready_position == TrackedServer::kNotIndexed) return;
+    ready_[server.ready_position] = ready_.back();
+    ready_[server.ready_position]->ready_position = server.ready_position;
+    ready_.pop_back();
+    server.ready_position = TrackedServer::kNotIndexed;
   }
   // ... or this time has come.
-  void Rest(Backend& b, Millis until) {
-    Close(b);
-    Key(resting_, b, b.wakes_at, true, until);
+  void MarkNotReadyUntil(TrackedServer& server, Millis until) {
+    MarkNotReady(server);
+    UpdateTimeIndex(backing_off_, server, server.backoff_key, true, until);
   }
-  // At most `most` of those whose time has come.
-  void Wake(Millis now, int most) {
-    while (most-- > 0 && !resting_.empty() && resting_.begin()->first <= now) {
-      Backend& b = *resting_.begin()->second;
-      Key(resting_, b, b.wakes_at, false, 0);
-      Open(b);
+  // At most `max_servers` of those whose time has come.
+  void ReactivateDueServers(Millis now, int max_servers) {
+    while (max_servers-- > 0 && !backing_off_.empty() && backing_off_.begin()->first <= now) {
+      TrackedServer& server = *backing_off_.begin()->second;
+      UpdateTimeIndex(backing_off_, server, server.backoff_key, false, 0);
+      MarkReady(server);
     }
   }
   // The suspect whose trial is due first and that `fits`; of the first few that are due.
-  template <typename Fits>
-  Backend* Trial(Millis now, int most, Fits fits) const {
-    for (auto at = trials_.begin(); at != trials_.end() && at->first <= now && most-- > 0; ++at) {
-      if (fits(*at->second)) return at->second;
+  template <typename Predicate>
+  TrackedServer* FindDueProbe(Millis now, int max_probes, Predicate matches) const {
+    for (auto probe = probes_.begin(); probe != probes_.end() && probe->first <= now && max_probes-- > 0;
+         ++probe) {
+      if (matches(*probe->second)) return probe->second;
     }
     return nullptr;
   }
   // Takes note of servers that have warmed up.
-  void Warm(Millis now) {
-    while (!warming_.empty() && warming_.begin()->first <= now) {
-      Backend& b = *warming_.begin()->second;
-      Key(warming_, b, b.warms_at, false, 0);
-      Count(warm_weight_, b.counted_warm, b.info.weight);
+  void CountWarmedUpServers(Millis now) {
+    while (!warming_up_.empty() && warming_up_.begin()->first <= now) {
+      TrackedServer& server = *warming_up_.begin()->second;
+      UpdateTimeIndex(warming_up_, server, server.warm_up_key, false, 0);
+      UpdateSum(warm_weight_, server.counted_warm_weight, server.info.weight);
     }
   }
 
-  double all_weight() const { return all_weight_; }    // of those that are up
-  double weight() const { return weight_; }            // of those that are up and no suspects
-  double warm_weight() const { return warm_weight_; }  // of the warm ones of these
-  double limits() const { return limits_; }            // of those that are sent to
+  double up_weight() const { return up_weight_; }                // of those that are up
+  double available_weight() const { return available_weight_; }  // of those that are up and no suspects
+  double warm_weight() const { return warm_weight_; }            // of the warm ones of these
+  double total_concurrency_limit() const { return total_concurrency_limit_; }  // of those that are sent to
 
  private:
-  using ByTime = std::set<std::pair<Millis, Backend*>, Sooner>;
+  using TimeIndex = std::set<std::pair<Millis, TrackedServer*>, EarlierFirst>;
 
-  static void Count(double& sum, double& counted, double now) {
+  static void UpdateSum(double& sum, double& counted, double now) {
     if (counted == now) return;
     sum += now - counted;
     counted = now;
   }
-  static void Key(ByTime& set, Backend& b, Millis& key, bool in, Millis at) {
-    const Millis wanted = in ? at : Backend::kNoTime;
-    if (key == wanted) return;
-    if (key != Backend::kNoTime) set.erase({key, &b});
-    key = wanted;
-    if (in) set.insert({at, &b});
+  static void UpdateTimeIndex(TimeIndex& index, TrackedServer& server, Millis& key, bool is_member,
+                              Millis time) {
+    const Millis new_key = is_member ? time : TrackedServer::kNotScheduled;
+    if (key == new_key) return;
+    if (key != TrackedServer::kNotScheduled) index.erase({key, &server});
+    key = new_key;
+    if (is_member) index.insert({time, &server});
   }
-  void Open(Backend& b) {
-    if (b.open_at != Backend::kNowhere) return;
-    b.open_at = open_.size();
-    open_.push_back(&b);
+  void MarkReady(TrackedServer& server) {
+    if (server.ready_position != TrackedServer::kNotIndexed) return;
+    server.ready_position = ready_.size();
+    ready_.push_back(&server);
   }
 
-  std::vector<Backend*> open_;
-  ByTime resting_, trials_, warming_;
-  double all_weight_ = 0, weight_ = 0, warm_weight_ = 0, limits_ = 0;
+  std::vector<TrackedServer*> ready_;
+  TimeIndex backing_off_, probes_, warming_up_;
+  double up_weight_ = 0, available_weight_ = 0, warm_weight_ = 0, total_concurrency_limit_ = 0;
 };
 
 }  // namespace opalswitch
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -3,58 +3,65 @@
 
 namespace opalswitch {
 
-constexpr double kSharers = 12;      // gateways that use a server, where there are more than that
-constexpr double kLeastServers = 6;  // servers that a gateway uses at the least: some may fail together
-constexpr double kHeldPart = 0.5;    // part of both where connections stay open: full tables cost capacity
-constexpr Millis kAskGap = 100;      // ms before a failed list call is made again, at the least; doubles
-constexpr Millis kAskTurn = 50;      // ms that each gateway is given for its call where all have to make one
-constexpr Millis kSubsetPerServer = 0.02;  // ms for each server between two choices of a large fleet's subset
+constexpr double kTargetGatewaysPerServer = 12;  // gateways that use a server, where there are more than that
+constexpr double kMinSubsetServers = 6;  // servers that a gateway uses at the least: some may fail together
+constexpr double kMultiplexedSubsetFraction =
+    0.5;  // part of both where connections stay open: full tables cost capacity
+constexpr Millis kMinWatchBackoffMs =
+    100;  // ms before a failed list call is made again, at the least; doubles
+constexpr Millis kWatchSpreadPerGatewayMs =
+    50;  // ms that each gateway is given for its call where all have to make one
+constexpr Millis kSubsetUpdateMsPerServer =
+    0.02;  // ms for each server between two choices of a large fleet's subset
 
 // Over this time the calls of all gateways are spread, where all may call at once.
-Millis Policy::Impl::AskSpread() const {
-  return std::min(kAskTurn * (set_.gateways - 1), set_.max_watch_interval / 2);
+Millis Policy::Impl::WatchSpread() const {
+  return std::min(kWatchSpreadPerGatewayMs * (settings_.gateways - 1), settings_.max_watch_interval / 2);
 }
 
-void Policy::Impl::On(const MembershipUpdate& news) {
-  if (news.kind == MembershipUpdate::Kind::kFailed) {
+void Policy::Impl::HandleEvent(const MembershipUpdate& update) {
+  if (update.kind == MembershipUpdate::Kind::kFailed) {
     // Ask later each time, never all at once: calls that time out in a line are worked through nevertheless.
-    ask_gap_ = std::min(std::max({kAskGap, AskSpread(), ask_gap_ * 2}), set_.max_watch_interval / 2);
-    ask_at_ = now_ + ask_gap_ * (0.5 + Uniform());
+    watch_backoff_ = std::min(std::max({kMinWatchBackoffMs, WatchSpread(), watch_backoff_ * 2}),
+                              settings_.max_watch_interval / 2);
+    next_watch_at_ = now_ + watch_backoff_ * (0.5 + Uniform());
     return;
   }
-  ask_gap_ = 0;
-  const bool full = news.kind == MembershipUpdate::Kind::kFull;
-  if (full) {
-    for (auto& [id, b] : servers_) b.up = false, gone_.insert(id);
-    up_ = 0;
+  watch_backoff_ = 0;
+  const bool is_full = update.kind == MembershipUpdate::Kind::kFull;
+  if (is_full) {
+    for (auto& [id, server] : servers_) server.is_up = false, down_servers_.insert(id);
+    servers_up_ = 0;
   }
-  for (const Server& s : news.servers) {
-    Backend& b = Learn(s);
-    if (!full) ChooseSubset(&b);
+  for (const Server& info : update.servers) {
+    TrackedServer& server = ApplyServerUpdate(info);
+    if (!is_full) UpdateSubset(&server);
   }
-  if (full) ChooseSubset();
-  for (auto it = gone_.begin(); it != gone_.end();) {
+  if (is_full) UpdateSubset();
+  for (auto it = down_servers_.begin(); it != down_servers_.end();) {
     const auto found = servers_.find(*it);
-    const bool up = found != servers_.end() && found->second.up;
-    const bool forget = found != servers_.end() && !up && found->second.refs == 0;
-    if (forget) {
-      Place(found->second);  // in no index any more
+    const bool is_up = found != servers_.end() && found->second.is_up;
+    const bool removes = found != servers_.end() && !is_up && found->second.attempt_refs == 0;
+    if (removes) {
+      UpdateServerIndex(found->second);  // in no index any more
       servers_.erase(found);
     }
-    it = up || forget || found == servers_.end() ? gone_.erase(it) : std::next(it);
+    it = is_up || removes || found == servers_.end() ? down_servers_.erase(it) : std::next(it);
   }
 }
 
 // Puts the servers that are up on a ring, those of each kind evenly, by an order that all gateways share.
-void Policy::Impl::OrderRing() {
+void Policy::Impl::BuildRing() {
   ring_.clear();
-  std::map<const Kind*, double> size, rank;
-  for (auto& [id, b] : servers_) {
-    b.mine = false;
-    if (b.up) ring_.push_back({static_cast<double>(b.hash >> 11), &b}), ++size[b.kind];
+  std::map<const ServerKindStats*, double> kind_size, kind_rank;
+  for (auto& [id, server] : servers_) {
+    server.in_subset = false;
+    if (server.is_up)
+      ring_.push_back({static_cast<double>(server.hash >> 11), &server}), ++kind_size[server.kind_stats];
   }
   std::sort(ring_.begin(), ring_.end());
-  for (auto& [at, b] : ring_) at = rank[b->kind]++ / size[b->kind];
+  for (auto& [position, server] : ring_)
+    position = kind_rank[server->kind_stats]++ / kind_size[server->kind_stats];
   std::sort(ring_.begin(), ring_.end(), [](const auto& x, const auto& y) {
     return std::pair(x.first, x.second->hash) < std::pair(y.first, y.second->hash);
   });
@@ -63,63 +70,72 @@
 // Subsetting: where many gateways share the servers each keeps to a few, or it learns nothing of any, and
 // connections fill the servers' tables. Gateways start by the golden ratio of their index, which covers the
 // ring. The next comes in for one that is ejected. `only`: nothing but this server has changed.
-void Policy::Impl::ChooseSubset(Backend* only) {
-  const double all = up_;
-  const double part = set_.streams_per_connection > 1 ? kHeldPart : 1;
-  const double wanted = part * std::max(kLeastServers, kSharers * all / set_.gateways);
-  const bool whole = wanted >= all;
-  if (!whole && only != nullptr && all > kFewServers && now_ < subset_at_) {
-    subset_due_ = true;  // of a large fleet the subset follows in a while; whoever is not up is out at once
-    return Place(*only);
+void Policy::Impl::UpdateSubset(TrackedServer* changed) {
+  const double servers_up = servers_up_;
+  const double subset_fraction = settings_.streams_per_connection > 1 ? kMultiplexedSubsetFraction : 1;
+  const double subset_size =
+      subset_fraction *
+      std::max(kMinSubsetServers, kTargetGatewaysPerServer * servers_up / settings_.gateways);
+  const bool use_all = subset_size >= servers_up;
+  if (!use_all && changed != nullptr && servers_up > kMaxServersForFullScan &&
+      now_ < next_subset_update_at_) {
+    subset_update_pending_ =
+        true;  // of a large fleet the subset follows in a while; whoever is not up is out at once
+    return UpdateServerIndex(*changed);
   }
-  const bool many = sharers_ > kManySharers;
-  sharers_ = std::max(1.0, set_.gateways * std::min(1.0, wanted / std::max(1.0, all)));
-  if (whole && whole_ && only != nullptr && many == (sharers_ > kManySharers)) {
-    only->mine = only->up;
-    return Place(*only);
+  const bool was_highly_shared = gateways_per_server_ > kMaxGatewaysWithLimits;
+  gateways_per_server_ =
+      std::max(1.0, settings_.gateways * std::min(1.0, subset_size / std::max(1.0, servers_up)));
+  if (use_all && uses_all_servers_ && changed != nullptr &&
+      was_highly_shared == (gateways_per_server_ > kMaxGatewaysWithLimits)) {
+    changed->in_subset = changed->is_up;
+    return UpdateServerIndex(*changed);
   }
-  whole_ = whole;
-  subset_due_ = false;
-  subset_at_ = now_ + kSubsetPerServer * all;
-  OrderRing();
+  uses_all_servers_ = use_all;
+  subset_update_pending_ = false;
+  next_subset_update_at_ = now_ + kSubsetUpdateMsPerServer * servers_up;
+  BuildRing();
   double chosen = 0;
-  for (std::size_t i = 0; i < ring_.size() && chosen < wanted; ++i) {
-    Backend& b = *ring_[(i + static_cast<std::size_t>(place_ * all)) % ring_.size()].second;
-    b.mine = true;
-    chosen += !b.suspect;
+  for (std::size_t i = 0; i < ring_.size() && chosen < subset_size; ++i) {
+    TrackedServer& server =
+        *ring_[(i + static_cast<std::size_t>(ring_position_ * servers_up)) % ring_.size()].second;
+    server.in_subset = true;
+    chosen += !server.is_ejected;
   }
-  for (auto& [id, b] : servers_) Place(b);
+  for (auto& [id, server] : servers_) UpdateServerIndex(server);
 }
 
-Backend& Policy::Impl::Learn(const Server& s) {
-  const auto [entry, added] = servers_.try_emplace(s.id);
-  Backend& b = entry->second;
-  const bool restarted = added || s.started_at > b.info.started_at;
-  if (added) b.order = ++ordered_;
-  b.info = s;
-  b.kind = &kinds_[s.kind];
-  b.hash = Hash(s.id);
-  up_ -= b.up;
-  b.up = s.state == ServerState::kUp;
-  up_ += b.up;
-  if (!b.up) gone_.insert(s.id);
-  if (!(b.info.weight > 0) || !std::isfinite(b.info.weight)) b.info.weight = 1;
-  if (restarted) Renew(b, s.started_at > 0 ? s.started_at : kNever);  // 0: up for long
-  ++measured_;
-  return b;
+TrackedServer& Policy::Impl::ApplyServerUpdate(const Server& info) {
+  const auto [entry, is_new] = servers_.try_emplace(info.id);
+  TrackedServer& server = entry->second;
+  const bool has_restarted = is_new || info.started_at > server.info.started_at;
+  if (is_new) server.sequence_number = ++servers_seen_;
+  server.info = info;
+  server.kind_stats = &kind_stats_[info.kind];
+  server.hash = Hash(info.id);
+  servers_up_ -= server.is_up;
+  server.is_up = info.state == ServerState::kUp;
+  servers_up_ += server.is_up;
+  if (!server.is_up) down_servers_.insert(info.id);
+  if (!(server.info.weight > 0) || !std::isfinite(server.info.weight)) server.info.weight = 1;
+  if (has_restarted)
+    ResetServer(server, info.started_at > 0 ? info.started_at : kDistantPast);  // 0: up for long
+  ++latency_updates_;
+  return server;
 }
 
 // A new process: cold, and nothing known of the old one holds for it.
-void Policy::Impl::Renew(Backend& b, Millis since) {
-  b.cold_since = std::max(b.cold_since, since);
-  b.credit = Uniform();
-  b.credit_at = now_;
-  b.latency = b.steady = b.base = b.failing = b.busy = b.samples = 0;
-  b.limit = b.places = StartLimit();
-  b.allowed = 0;
-  b.heard_at = now_;
-  b.suspect = b.lost = false;
-  b.trial_gap = kTrialGap;
+void Policy::Impl::ResetServer(TrackedServer& server, Millis since) {
+  server.warm_up_started_at = std::max(server.warm_up_started_at, since);
+  server.send_credit = Uniform();
+  server.send_credit_updated_at = now_;
+  server.latency_ewma = server.slow_latency_ewma = server.baseline_latency = server.failure_rate =
+      server.utilization = server.latency_samples = 0;
+  server.concurrency_limit = server.concurrency_slots = InitialConcurrencyLimit();
+  server.send_budget_per_ms = 0;
+  server.send_budget_updated_at = now_;
+  server.is_ejected = server.may_have_restarted = false;
+  server.probe_interval = kInitialProbeIntervalMs;
 }
 
 }  // namespace opalswitch
--- a/src/module/outliers.cpp
+++ b/src/module/outliers.cpp
@@ -3,26 +3,32 @@
 
 namespace opalswitch {
 
-constexpr double kMostStep = 3;      // times the usual latency, that one late answer counts for
-constexpr double kGuessedStep = 10;  // the same where it is set right by a guess, which may be wrong itself
-constexpr double kEarly = 0.5;       // part of the aim that an attempt is given at the least, usually
-constexpr double kErrOut = 0.3;      // failing share above which a server is suspect
-constexpr double kErrAll = 0.02;     // weight of a new outcome in the failing share of all trusted servers
-constexpr double kErrBack = 0.1;     // failing share below which, after trials, a suspect is trusted again
-constexpr double kErrGone = 0.7;     // the same where too few would be left: these hardly serve at all
-constexpr double kTrusted = 0.5;     // part of all servers, by weight, below which too few are left
-constexpr double kErrSpread = 3;     // standard deviations from that which chance is granted
-constexpr Millis kTrialGapMost = 4000;  // ms; longest gap between trials
-constexpr Millis kLostAfter = 1000;     // ms of silence after which failed connections mean a death
+constexpr double kMaxLatencyStep = 3;  // times the usual latency, that one late answer counts for
+constexpr double kMaxLatencyStepWithCost =
+    10;  // the same where it is set right by a guess, which may be wrong itself
+constexpr double kMinAimFraction = 0.5;  // part of the aim that an attempt is given at the least, usually
+constexpr double kEjectionFailureRate = 0.3;  // failing share above which a server is suspect
+constexpr double kFleetFailureSmoothingFactor =
+    0.02;  // weight of a new outcome in the failing share of all trusted servers
+constexpr double kRecoveryFailureRate =
+    0.1;  // failing share below which, after trials, a suspect is trusted again
+constexpr double kSevereFailureRate = 0.7;  // the same where too few would be left: these hardly serve at all
+constexpr double kMinAvailableFraction = 0.5;  // part of all servers, by weight, below which too few are left
+constexpr double kFailureRateDeviations = 3;   // standard deviations from that which chance is granted
+constexpr Millis kMaxProbeIntervalMs = 4000;   // ms; longest gap between trials
+constexpr Millis kRestartSilenceMs = 1000;     // ms of silence after which failed connections mean a death
 
-void Policy::Impl::Suspect(Backend& b) {
-  const bool was = std::exchange(b.suspect, true);
-  b.failing = std::min(b.failing, kErrGone);  // out for longer is no worse: the way back is as short
-  b.next_trial = now_ + b.trial_gap * (0.75 + 0.5 * Uniform());
-  b.trial_gap = Scarce(b) ? kTrialGap : std::min(b.trial_gap * 2, kTrialGapMost);
-  if (was) return;
-  Say("server " + b.info.id + " not ready: failing");
-  ChooseSubset(&b);
+void Policy::Impl::EjectServer(TrackedServer& server) {
+  const bool was_ejected = std::exchange(server.is_ejected, true);
+  server.failure_rate = std::min(server.failure_rate,
+                                 kSevereFailureRate);  // out for longer is no worse: the way back is as short
+  server.next_probe_at = now_ + server.probe_interval * (0.75 + 0.5 * Uniform());
+  server.probe_interval = TooFewOthersAvailable(server)
+                              ? kInitialProbeIntervalMs
+                              : std::min(server.probe_interval * 2, kMaxProbeIntervalMs);
+  if (was_ejected) return;
+  LogRateLimited("server " + server.info.id + " not ready: failing");
+  UpdateSubset(&server);
 }
 
 // Outlier detection: failures that all servers have alike (a network that resets connections, errors of a
@@ -30,84 +36,104 @@
 // is held against what the trusted ones fail: out beyond chance's spread round that, back under it and a
 // little more. It could hurt where nearly all fail and a few do not, by less than the spread. And where half
 // of them are out, the others bear twice their load: then only those that serve next to nothing are left out.
-double Policy::Impl::OutAbove(const Backend& b) const {
-  const double deviation = std::sqrt(unserved_ * (1 - unserved_) * kErrWeight / (2 - kErrWeight));
-  return std::max(Scarce(b) ? kErrGone : kErrOut, unserved_ + kErrSpread * deviation);
+double Policy::Impl::EjectionThreshold(const TrackedServer& server) const {
+  const double deviation = std::sqrt(server_failure_rate_ * (1 - server_failure_rate_) *
+                                     kFailureSmoothingFactor / (2 - kFailureSmoothingFactor));
+  return std::max(TooFewOthersAvailable(server) ? kSevereFailureRate : kEjectionFailureRate,
+                  server_failure_rate_ + kFailureRateDeviations * deviation);
 }
-double Policy::Impl::BackBelow(const Backend& b) const { return Scarce(b) ? kErrGone : kErrBack + unserved_; }
-bool Policy::Impl::Scarce(const Backend& b) const {
-  const double others = fleet_.weight() - (b.suspect ? 0 : b.counted_weight);
-  return others < kTrusted * fleet_.all_weight();
+double Policy::Impl::RecoveryThreshold(const TrackedServer& server) const {
+  return TooFewOthersAvailable(server) ? kSevereFailureRate : kRecoveryFailureRate + server_failure_rate_;
+}
+bool Policy::Impl::TooFewOthersAvailable(const TrackedServer& server) const {
+  const double others_weight =
+      server_index_.available_weight() - (server.is_ejected ? 0 : server.counted_available_weight);
+  return others_weight < kMinAvailableFraction * server_index_.up_weight();
 }
 
 // A request's work over the mean of all: by what the client guesses, else by its class's latency. 1 until
 // something was learned.
-double Policy::Impl::Relative(const Flow& flow) const {
-  if (flow.cost > 0) return flow.cost / mean_cost_;
-  const double latency = classes_[flow.cls].latency;
+double Policy::Impl::RelativeWork(const ActiveRequest& request) const {
+  if (request.estimated_cost > 0) return request.estimated_cost / mean_estimated_cost_;
+  const double latency = classes_[request.class_index].latency_ewma;
   return latency > 0 && mean_latency_ > 0 ? latency / mean_latency_ : 1;
 }
 
 // One answer that is many times later than usual was held up on its way, and one in a hundred of these would
 // halve a limit for good. It counts for a step upwards; the next one as late, as in a jam, for all it is.
-double Policy::Impl::Believed(Backend& b, double sample) {
-  const double before = std::exchange(b.last_sample, sample);
-  const bool guesses = mean_cost_ > 0;
-  const double usual = b.samples >= kKnown                   ? b.latency
-                       : guesses || b.kind->samples < kKnown ? sample
-                                                             : b.kind->latency;
-  return std::min(sample, std::max((guesses ? kGuessedStep : kMostStep) * usual, before));
+double Policy::Impl::ClampLatencyOutlier(TrackedServer& server, double sample) {
+  const double previous_sample = std::exchange(server.last_latency_sample, sample);
+  const bool has_cost_estimates = mean_estimated_cost_ > 0;
+  const double usual_latency = server.latency_samples >= kMinLatencySamples ? server.latency_ewma
+                               : has_cost_estimates || server.kind_stats->latency_samples < kMinLatencySamples
+                                   ? sample
+                                   : server.kind_stats->latency_ewma;
+  return std::min(sample,
+                  std::max((has_cost_estimates ? kMaxLatencyStepWithCost : kMaxLatencyStep) * usual_latency,
+                           previous_sample));
 }
 
 // A time-out of an attempt that had little of the usual time tells of a client that leaves early, not of the
 // server.
-bool Policy::Impl::Impatient(const Flow& flow, const Outcome& outcome) const {
-  const Millis given = flow.leaves_at - flow.attempts[outcome.attempt].sent;
-  return outcome.result == Result::kTimedOut && given < kEarly * classes_[flow.cls].set.aim;
+bool Policy::Impl::HadTooLittleTime(const ActiveRequest& request, const Outcome& outcome) const {
+  const Millis time_given = request.client_deadline - request.attempts[outcome.attempt].sent_at;
+  return outcome.result == Result::kTimedOut &&
+         time_given < kMinAimFraction * classes_[request.class_index].settings.aim;
 }
 
-void Policy::Impl::Judge(Backend& b, const Flow& flow, const Outcome& outcome) {
-  const bool served = outcome.result == Result::kServed;
+void Policy::Impl::RecordServerOutcome(TrackedServer& server, const ActiveRequest& request,
+                                       const Outcome& outcome) {
+  const bool is_served = outcome.result == Result::kServed;
   if (outcome.result == Result::kRejected) {  // full is not ill; its latency shows the crowding
     // Resting it keeps its quick refusals, which leave it idle, from drawing ever more to it.
-    b.rests_until = std::max(b.rests_until, now_ + b.latency);
-    Adjust(b, kMostBusy);
-    if (b.suspect) Suspect(b);  // but one that hangs fills up: a trial that it turns away has failed
+    server.backoff_until = std::max(server.backoff_until, now_ + server.latency_ewma);
+    UpdateSendBudget(server, kMaxUtilization);
+    if (server.is_ejected)
+      EjectServer(server);  // but one that hangs fills up: a trial that it turns away has failed
     return;
   }
   // A crowded server fails connections too: only one that long served nothing may be a new process.
-  const bool dropped = outcome.result == Result::kConnectFailed || outcome.result == Result::kReset;
-  if (dropped && b.failing >= kErrWeight && now_ - b.last_served > kLostAfter) b.lost = true;
+  const bool connection_failed = outcome.result == Result::kConnectFailed || outcome.result == Result::kReset;
+  if (connection_failed && server.failure_rate >= kFailureSmoothingFactor &&
+      now_ - server.last_success_at > kRestartSilenceMs)
+    server.may_have_restarted = true;
   // One slow request among others that were answered meanwhile says nothing about the server.
-  const bool heavy = outcome.result == Result::kTimedOut &&
-                     (b.last_served > now_ - outcome.latency || Impatient(flow, outcome));
-  if (served) b.last_served = now_;
-  if (outcome.result == Result::kTimedOut && !Impatient(flow, outcome)) Adjust(b, kMostBusy);
-  if (served && Warmth(b) >= 1) warm_served_ += 1;
-  if (!heavy) b.failing += kErrWeight * ((served ? 0.0 : 1.0) - b.failing);
-  if (!heavy && !b.suspect) unserved_ += kErrAll * ((served ? 0.0 : 1.0) - unserved_);
-  if (served && b.suspect) {
-    b.next_trial = now_;
-    b.trial_gap = kTrialGap;
-    b.suspect = b.failing >= BackBelow(b);
-    if (b.lost) Renew(b, now_);
-    if (!b.suspect) {
-      Say("server " + b.info.id + " ready again");
-      ChooseSubset(&b);
+  const bool is_slow_request =
+      outcome.result == Result::kTimedOut &&
+      (server.last_success_at > now_ - outcome.latency || HadTooLittleTime(request, outcome));
+  if (is_served) server.last_success_at = now_;
+  if (outcome.result == Result::kTimedOut && !HadTooLittleTime(request, outcome))
+    UpdateSendBudget(server, kMaxUtilization);
+  if (is_served && CapacityFraction(server) >= 1) warm_responses_ += 1;
+  if (!is_slow_request)
+    server.failure_rate += kFailureSmoothingFactor * ((is_served ? 0.0 : 1.0) - server.failure_rate);
+  if (!is_slow_request && !server.is_ejected)
+    server_failure_rate_ += kFleetFailureSmoothingFactor * ((is_served ? 0.0 : 1.0) - server_failure_rate_);
+  if (is_served && server.is_ejected) {
+    server.next_probe_at = now_;
+    server.probe_interval = kInitialProbeIntervalMs;
+    server.is_ejected = server.failure_rate >= RecoveryThreshold(server);
+    if (server.may_have_restarted) ResetServer(server, now_);
+    if (!server.is_ejected) {
+      LogRateLimited("server " + server.info.id + " ready again");
+      UpdateSubset(&server);
     }
-  } else if (!served && !heavy && (b.failing > OutAbove(b) || b.suspect)) {
-    Suspect(b);
+  } else if (!is_served && !is_slow_request &&
+             (server.failure_rate > EjectionThreshold(server) || server.is_ejected)) {
+    EjectServer(server);
   }
-  const double work = Relative(flow);
-  const double sample = Believed(b, outcome.latency / work);
+  const double work = RelativeWork(request);
+  const double sample = ClampLatencyOutlier(server, outcome.latency / work);
   // A failure never lowers the latency: fast errors would look like a fast server. And what never came,
   // though others did, or a connection that broke, took no time of the server's: it was lost on the way.
-  if (served || (!heavy && !dropped && sample > b.latency))
-    Measure(b, sample, std::min(flow.cost > 0 ? work : 1.0, kMostWork), served);
+  if (is_served || (!is_slow_request && !connection_failed && sample > server.latency_ewma))
+    UpdateConcurrencyLimit(server, sample,
+                           std::min(request.estimated_cost > 0 ? work : 1.0, kMaxRelativeWork), is_served);
   // A few gateways may have to share a server that takes fewer requests than there are gateways.
-  if (b.limit < 1) b.rests_until = now_ + outcome.latency * (1 / b.limit - 1);
+  if (server.concurrency_limit < 1)
+    server.backoff_until = now_ + outcome.latency * (1 / server.concurrency_limit - 1);
   // Drawn anew each time: rounding up would crowd a server by a request for each gateway.
-  b.places = std::max(1.0, std::floor(b.limit + Uniform()));
+  server.concurrency_slots = std::max(1.0, std::floor(server.concurrency_limit + Uniform()));
 }
 
 }  // namespace opalswitch
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -3,101 +3,124 @@
 
 namespace opalswitch {
 
-constexpr std::size_t kMedianPart = 16;  // of the servers one in so many: measurements by which it may lag
-constexpr double kCrossing = 1.3;      // cost of a server in another zone, times its own: crossing is priced
-constexpr double kPooled = 2;          // samples that the latency of a server's kind counts for
-constexpr std::size_t kStretch = 256;  // of more, that are gone through at the most
-constexpr int kMostLooks = 32;         // draws in vain before that; also trials, and rests that end, at once
-constexpr Millis kMostRest = 100;      // ms until a cold server's credit is looked at again
+constexpr std::size_t kMedianUpdateDivisor =
+    16;  // of the servers one in so many: measurements by which it may lag
+constexpr double kCrossZoneCostFactor =
+    1.3;  // cost of a server in another zone, times its own: crossing is priced
+constexpr double kKindPriorSamples = 2;      // samples that the latency of a server's kind counts for
+constexpr std::size_t kMaxScanLength = 256;  // of more, that are gone through at the most
+constexpr int kMaxDraws = 32;  // draws in vain before that; also trials, and rests that end, at once
+constexpr Millis kMaxCreditWaitMs = 100;  // ms until a cold server's credit is looked at again
 
 // Of all latencies. Of many servers it is found anew only after a part of them has been measured again.
-double Policy::Impl::Median() {
-  if (measured_ * kMedianPart < servers_.size() && std::exchange(median_found_, true)) return median_;
-  measured_ = 0;
-  scratch_.clear();
-  for (auto& [id, b] : servers_) {
-    if (b.up && b.latency > 0) scratch_.push_back(b.latency);
+double Policy::Impl::MedianLatency() {
+  if (latency_updates_ * kMedianUpdateDivisor < servers_.size() && std::exchange(has_median_, true))
+    return median_latency_;
+  latency_updates_ = 0;
+  median_scratch_.clear();
+  for (auto& [id, server] : servers_) {
+    if (server.is_up && server.latency_ewma > 0) median_scratch_.push_back(server.latency_ewma);
   }
-  return median_ = MiddleOf(scratch_);
+  return median_latency_ = MedianOf(median_scratch_);
 }
 
-double Policy::Impl::Cost(const Backend& b) {
+double Policy::Impl::SelectionCost(const TrackedServer& server) {
   // A few samples of a server tell little: where many share it they are shrunk toward those of its kind.
-  const double pooled = Many() && b.kind->latency > 0 ? kPooled : 0;
-  const double own = std::min(1.0 * b.samples, 1 / kFast), all = own + pooled;
-  const double latency = (own * b.latency + pooled * b.kind->latency) / std::max(1.0, all);
-  const double crossing = b.info.zone == set_.zone ? 1 : kCrossing;
-  return crossing * (b.in_flight + 1) * (all > 0 ? latency : std::max(1.0, Median()));
+  const double prior_samples =
+      IsHighlyShared() && server.kind_stats->latency_ewma > 0 ? kKindPriorSamples : 0;
+  const double own_samples = std::min(1.0 * server.latency_samples, 1 / kLatencySmoothingFactor),
+               total_samples = own_samples + prior_samples;
+  const double latency =
+      (own_samples * server.latency_ewma + prior_samples * server.kind_stats->latency_ewma) /
+      std::max(1.0, total_samples);
+  const double zone_cost = server.info.zone == settings_.zone ? 1 : kCrossZoneCostFactor;
+  return zone_cost * (server.in_flight + 1) * (total_samples > 0 ? latency : std::max(1.0, MedianLatency()));
 }
 
 // Rule 2: a keyed request that may have run stays with the servers that drop its repeats.
-bool Policy::Impl::Allowed(const Flow& flow, const Backend& b) const {
-  const ClassSettings& c = classes_[flow.cls].set;
-  const Attempt* first = c.effect == Effect::kKeyed ? flow.FirstRun() : nullptr;
-  if (first == nullptr) return true;
-  if (now_ - first->sent >= c.repeat_window) return false;
-  const Server& at = first->server->info;
-  if (c.group == DeduplicationScope::kZone) return at.zone == b.info.zone;
-  return c.group == DeduplicationScope::kAll || at.cell == b.info.cell;
+bool Policy::Impl::IsWithinDeduplicationScope(const ActiveRequest& request,
+                                              const TrackedServer& server) const {
+  const ClassSettings& class_settings = classes_[request.class_index].settings;
+  const Attempt* first_run =
+      class_settings.effect == Effect::kKeyed ? request.FirstAttemptThatMayHaveRun() : nullptr;
+  if (first_run == nullptr) return true;
+  if (now_ - first_run->sent_at >= class_settings.repeat_window) return false;
+  const Server& first_server = first_run->server->info;
+  if (class_settings.group == DeduplicationScope::kZone) return first_server.zone == server.info.zone;
+  return class_settings.group == DeduplicationScope::kAll || first_server.cell == server.info.cell;
 }
 
 // Whether it is ready for nobody now. Then it is kept apart until its time, or an event, may change that.
-bool Policy::Impl::Shut(Backend& b) {
-  if (!Many()) {
-    if (now_ < b.rests_until) return fleet_.Rest(b, b.rests_until), true;
-    if (b.in_flight >= b.places) return fleet_.Close(b), true;
+bool Policy::Impl::DeactivateIfNotReady(TrackedServer& server) {
+  if (!IsHighlyShared()) {
+    if (now_ < server.backoff_until)
+      return server_index_.MarkNotReadyUntil(server, server.backoff_until), true;
+    if (server.in_flight >= server.concurrency_slots) return server_index_.MarkNotReady(server), true;
   }
-  if (WithinBudget(b)) return false;
-  const Millis wait = (1 - b.credit) / std::max(Budget(b), 1e-9);
-  return fleet_.Rest(b, now_ + std::clamp(wait, 1.0, kMostRest)), true;
+  if (RefillSendCredit(server)) return false;
+  const Millis wait = (1 - server.send_credit) / std::max(SendBudgetPerMs(server), 1e-9);
+  return server_index_.MarkNotReadyUntil(server, now_ + std::clamp(wait, 1.0, kMaxCreditWaitMs)), true;
 }
 
-template <typename May>
-Backend* Policy::Impl::Sample(const Flow& flow, May may, const Backend* except) {
-  const auto fits = [&](Backend& b) { return &b != except && may(b) && Ready(b, flow.in_share); };
-  for (int tries = 0; tries < kMostLooks && fleet_.open() > 0;) {
-    Backend& b = fleet_.At(random_() % fleet_.open());
-    if (Shut(b)) continue;  // paid for by what opened it
-    if (fits(b)) return &b;
-    ++tries;
+template <typename Predicate>
+TrackedServer* Policy::Impl::SampleServer(const ActiveRequest& request, Predicate is_allowed,
+                                          const TrackedServer* excluded) {
+  const auto matches = [&](TrackedServer& server) {
+    return &server != excluded && is_allowed(server) && CanTakeRequest(server, request.within_quota);
+  };
+  for (int draws = 0; draws < kMaxDraws && server_index_.ready_count() > 0;) {
+    TrackedServer& server = server_index_.ready_server(random_() % server_index_.ready_count());
+    if (DeactivateIfNotReady(server)) continue;  // paid for by what opened it
+    if (matches(server)) return &server;
+    ++draws;
   }
-  const std::size_t all = fleet_.open(), first = all > 0 ? random_() % all : 0;
-  for (std::size_t i = 0; i < std::min(all, kStretch); ++i) {
-    Backend& b = fleet_.At((first + i) % all);
-    if (fits(b)) return &b;
+  const std::size_t all = server_index_.ready_count(), first = all > 0 ? random_() % all : 0;
+  for (std::size_t i = 0; i < std::min(all, kMaxScanLength); ++i) {
+    TrackedServer& server = server_index_.ready_server((first + i) % all);
+    if (matches(server)) return &server;
   }
   return nullptr;
 }
 
 // The better of two ready servers by (own in-flight + 1) x smoothed latency, or null.
-Backend* Policy::Impl::Pick(const Flow& flow) {
-  const bool repeatable = classes_[flow.cls].set.effect == Effect::kSafe && flow.attempts.empty();
-  const Backend* last = flow.attempts.empty() ? nullptr : flow.attempts.back().server;
-  const auto may = [&](const Backend& b) { return &b != last && Allowed(flow, b); };
+TrackedServer* Policy::Impl::SelectServer(const ActiveRequest& request) {
+  const bool repeatable =
+      classes_[request.class_index].settings.effect == Effect::kSafe && request.attempts.empty();
+  const TrackedServer* last_server = request.attempts.empty() ? nullptr : request.attempts.back().server;
+  const auto is_allowed = [&](const TrackedServer& server) {
+    return &server != last_server && IsWithinDeduplicationScope(request, server);
+  };
   // A suspect returns by one trial at a time, with a request that may run again.
   if (repeatable) {
-    const auto fits = [&](Backend& b) { return may(b) && WithinBudget(b); };
-    if (Backend* const b = fleet_.Trial(now_, kMostLooks, fits)) return b;
+    const auto matches = [&](TrackedServer& server) {
+      return is_allowed(server) && RefillSendCredit(server);
+    };
+    if (TrackedServer* const server = server_index_.FindDueProbe(now_, kMaxDraws, matches)) return server;
   }
-  fleet_.Wake(now_, kMostLooks);
-  const bool by_key = set_.has_key_affinity && flow.key != 0;
-  if (!by_key && fleet_.open() > kFewServers) {
-    Backend* const one = Sample(flow, may, nullptr);
-    Backend* const two = one == nullptr ? nullptr : Sample(flow, may, one);
-    return two != nullptr && Cost(*two) < Cost(*one) ? two : one;
+  server_index_.ReactivateDueServers(now_, kMaxDraws);
+  const bool by_key = settings_.has_key_affinity && request.key_hash != 0;
+  if (!by_key && server_index_.ready_count() > kMaxServersForFullScan) {
+    TrackedServer* const first_choice = SampleServer(request, is_allowed, nullptr);
+    TrackedServer* const second_choice =
+        first_choice == nullptr ? nullptr : SampleServer(request, is_allowed, first_choice);
+    return second_choice != nullptr && SelectionCost(*second_choice) < SelectionCost(*first_choice)
+               ? second_choice
+               : first_choice;
   }
   candidates_.clear();
-  for (std::size_t i = 0; i < fleet_.open();) {
-    Backend& b = fleet_.At(i);
-    if (Shut(b)) continue;  // another is in its place now
-    if (may(b) && Ready(b, flow.in_share)) candidates_.push_back({0, &b});
+  for (std::size_t i = 0; i < server_index_.ready_count();) {
+    TrackedServer& server = server_index_.ready_server(i);
+    if (DeactivateIfNotReady(server)) continue;  // another is in its place now
+    if (is_allowed(server) && CanTakeRequest(server, request.within_quota))
+      candidates_.push_back({0, &server});
     ++i;
   }
   if (candidates_.empty()) return nullptr;
   if (candidates_.size() > 2) {
     if (by_key) {
       // Weighted rendezvous: lowest first; a server's coming or going moves only its own keys.
-      for (auto& [rank, b] : candidates_) rank = -std::log(Fraction(flow.key ^ b->hash)) / b->info.weight;
+      for (auto& [rank, server] : candidates_)
+        rank = -std::log(HashToUnitInterval(request.key_hash ^ server->hash)) / server->info.weight;
       std::partial_sort(candidates_.begin(), candidates_.begin() + 2, candidates_.end(),
                         [](const auto& x, const auto& y) { return x.first < y.first; });
     } else {
@@ -106,9 +129,9 @@
       std::swap(candidates_[1], candidates_[1 + random_() % (n - 1)]);
     }
   }
-  Backend* const one = candidates_.front().second;
-  Backend* const two = candidates_.size() > 1 ? candidates_[1].second : one;
-  return Cost(*two) < Cost(*one) ? two : one;
+  TrackedServer* const first_choice = candidates_.front().second;
+  TrackedServer* const second_choice = candidates_.size() > 1 ? candidates_[1].second : first_choice;
+  return SelectionCost(*second_choice) < SelectionCost(*first_choice) ? second_choice : first_choice;
 }
 
 }  // namespace opalswitch
--- a/src/module/policy.cpp
+++ b/src/module/policy.cpp
@@ -4,90 +4,97 @@
 
 namespace opalswitch {
 
-constexpr Millis kSweepEvery = 10;  // ms between sweeps: queue expiry
-constexpr double kMostSpread = 4;   // times by which latency alone raises or lowers a server's share
+constexpr Millis kSweepIntervalMs = 10;  // ms between sweeps: queue expiry
+constexpr double kMaxLatencyWeightRatio =
+    4;  // times by which latency alone raises or lowers a server's share
 
 Policy::Impl::Impl(Settings settings, std::uint64_t seed) {
-  set_ = std::move(settings);
+  settings_ = std::move(settings);
   random_.seed(seed);
-  const double worth = Validate(set_);
-  const auto& fields = set_.load_report_fields;
-  place_ = set_.index < 0 ? Uniform() : std::fmod(set_.index * 0.6180339887498949, 1.0);
-  busy_at_ = std::find(fields.begin(), fields.end(), "util") - fields.begin();
-  for (const ClassSettings& c : set_.classes) {
-    class_index_[c.name] = static_cast<int>(classes_.size());
-    classes_.emplace_back().set = c;
-    classes_.back().weight = worth > 0 ? c.worth / worth : 1.0 / static_cast<double>(set_.classes.size());
+  const double worth = ValidateSettings(settings_);
+  const auto& report_fields = settings_.load_report_fields;
+  ring_position_ = settings_.index < 0 ? Uniform() : std::fmod(settings_.index * 0.6180339887498949, 1.0);
+  utilization_index_ = std::find(report_fields.begin(), report_fields.end(), "util") - report_fields.begin();
+  for (const ClassSettings& class_settings : settings_.classes) {
+    class_indices_[class_settings.name] = static_cast<int>(classes_.size());
+    classes_.emplace_back().settings = class_settings;
+    classes_.back().weight =
+        worth > 0 ? class_settings.worth / worth : 1.0 / static_cast<double>(settings_.classes.size());
   }
-  for (const TenantSettings& t : set_.tenants) {
-    tenants_[t.name].per_ms = t.quota_per_s / set_.gateways / 1000;
+  for (const TenantSettings& tenant : settings_.tenants) {
+    tenants_[tenant.name].quota_per_ms = tenant.quota_per_s / settings_.gateways / 1000;
   }
 }
 
-void Policy::Impl::Handle(Millis now, const Event& event, std::vector<Action>& out) {
-  out_ = &out;
-  Refill(now);
-  const bool first = !std::exchange(started_, true);
-  std::visit([this](const auto& e) { On(e); }, event);
-  if (first) {  // who knows hosts waits for a turn: many gateways may start together
-    if (set_.requires_watch && up_ > 0) ask_at_ = now_ + AskSpread() * Uniform();
-    swept_at_ = now_;
+void Policy::Impl::Handle(Millis now, const Event& event, std::vector<Action>& actions) {
+  actions_ = &actions;
+  AdvanceClock(now);
+  const bool is_first_event = !std::exchange(started_, true);
+  std::visit([this](const auto& value) { HandleEvent(value); }, event);
+  if (is_first_event) {  // who knows hosts waits for a turn: many gateways may start together
+    if (settings_.requires_watch && servers_up_ > 0) next_watch_at_ = now_ + WatchSpread() * Uniform();
+    last_sweep_at_ = now_;
     Sweep();
   }
-  Release();
+  ReleaseQueuedRequests();
 }
 
 // The same preference as shares, for proxies that are told them now and then; it starves nobody either.
 std::vector<ServerStatus> Policy::Impl::ServerStatuses() const {
-  std::vector<double> known;
-  for (const auto& [id, b] : servers_) {
-    if (b.up && !b.suspect && b.latency > 0) known.push_back(b.latency);
+  std::vector<double> latencies;
+  for (const auto& [id, server] : servers_) {
+    if (server.is_up && !server.is_ejected && server.latency_ewma > 0)
+      latencies.push_back(server.latency_ewma);
   }
-  const double middle = MiddleOf(known);
-  std::vector<ServerStatus> all;
-  for (const auto& [id, b] : servers_) {
-    if (!b.up) continue;
-    const double faster = b.latency > 0 && middle > 0 ? middle / b.latency : 1;
-    all.push_back(
-        {id, b.info.weight * Warmth(b) * std::clamp(faster, 1 / kMostSpread, kMostSpread), b.suspect});
+  const double median_latency = MedianOf(latencies);
+  std::vector<ServerStatus> statuses;
+  for (const auto& [id, server] : servers_) {
+    if (!server.is_up) continue;
+    const double relative_speed =
+        server.latency_ewma > 0 && median_latency > 0 ? median_latency / server.latency_ewma : 1;
+    statuses.push_back({id,
+                        server.info.weight * CapacityFraction(server) *
+                            std::clamp(relative_speed, 1 / kMaxLatencyWeightRatio, kMaxLatencyWeightRatio),
+                        server.is_ejected});
   }
-  return all;
+  return statuses;
 }
 
-void Policy::Impl::On(const ClientGone& gone) {
-  Flow* const known = Find(gone.request);
-  if (known == nullptr) return;
-  Flow& flow = *known;
-  Unqueue(flow);
-  flow.answered = true;
-  for (std::size_t i = 0; set_.can_cancel && i < flow.attempts.size(); ++i) {
-    if (flow.attempts[i].out) Emit(Cancel{flow.id, static_cast<int>(i)});
+void Policy::Impl::HandleEvent(const ClientGone& event) {
+  ActiveRequest* const found = FindRequest(event.request);
+  if (found == nullptr) return;
+  ActiveRequest& request = *found;
+  RemoveFromQueue(request);
+  request.is_answered = true;
+  for (std::size_t i = 0; settings_.can_cancel && i < request.attempts.size(); ++i) {
+    if (request.attempts[i].in_flight) EmitAction(Cancel{request.id, static_cast<int>(i)});
   }
-  Settle(flow);
+  RemoveIfFinished(request);
 }
 
-void Policy::Impl::On(const StreamStarted& s) {  // the client owns it now; its outcome is still awaited
-  if (Flow* const flow = Find(s.request)) flow->answered = true;
+void Policy::Impl::HandleEvent(
+    const StreamStarted& event) {  // the client owns it now; its outcome is still awaited
+  if (ActiveRequest* const request = FindRequest(event.request)) request->is_answered = true;
 }
 
 void Policy::Impl::Sweep() {
-  Emit(SetTimer{kSweepEvery, "sweep"});
-  if (set_.requires_watch && now_ >= ask_at_) {
-    Emit(Watch{});
-    ask_at_ = std::numeric_limits<Millis>::infinity();
+  EmitAction(SetTimer{kSweepIntervalMs, "sweep"});
+  if (settings_.requires_watch && now_ >= next_watch_at_) {
+    EmitAction(Watch{});
+    next_watch_at_ = std::numeric_limits<Millis>::infinity();
   }
-  if (subset_due_ && now_ >= subset_at_) ChooseSubset();
-  const Millis passed = std::min(kLongMemory, now_ - std::exchange(swept_at_, now_));
-  LearnReference(passed);
-  Weigh(passed);
-  ExpireQueued();
+  if (subset_update_pending_ && now_ >= next_subset_update_at_) UpdateSubset();
+  const Millis elapsed = std::min(kLongRateWindowMs, now_ - std::exchange(last_sweep_at_, now_));
+  UpdateReferenceRate(elapsed);
+  UpdateClassWeights(elapsed);
+  ExpireQueuedRequests();
 }
 
 // A log line, at most a few a second: trouble must not flood the gateway's log.
-void Policy::Impl::Say(std::string text) {
-  if (now_ < quiet_until_) return;
-  quiet_until_ = now_ + 200;
-  Emit(Log{std::move(text)});
+void Policy::Impl::LogRateLimited(std::string text) {
+  if (now_ < next_log_at_) return;
+  next_log_at_ = now_ + 200;
+  EmitAction(Log{std::move(text)});
 }
 
 Policy::Policy(Settings settings, std::uint64_t seed)
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -35,31 +35,31 @@
   return "unknown";
 }
 
-double Validate(const Settings& s) {
-  Check(!s.classes.empty(), "classes: there is none");
-  Check(s.classes.size() <= 64, "classes: more than 64");
-  Check(s.gateways >= 1, "gateways: must be at least 1");
-  Check(s.max_attempts >= 1, "max_attempts: must be at least 1");
-  Check(Positive(s.cold_capacity_fraction) && s.cold_capacity_fraction <= 1,
+double ValidateSettings(const Settings& settings) {
+  Check(!settings.classes.empty(), "classes: there is none");
+  Check(settings.classes.size() <= 64, "classes: more than 64");
+  Check(settings.gateways >= 1, "gateways: must be at least 1");
+  Check(settings.max_attempts >= 1, "max_attempts: must be at least 1");
+  Check(Positive(settings.cold_capacity_fraction) && settings.cold_capacity_fraction <= 1,
         "cold_capacity_fraction: must be in (0, 1]");
-  Check(NotNegative(s.warm_up_time), "warm_up_time: must not be negative");
-  Check(Positive(s.overload_multiple), "overload_multiple: must be above 0");
-  Check(s.streams_per_connection >= 1, "streams_per_connection: must be at least 1");
-  Check(Positive(s.max_watch_interval), "max_watch_interval: must be above 0");
-  Check(NotNegative(s.total_worth_weight), "total_worth_weight: must not be negative");
-  Check(NotNegative(s.worst_class_weight), "worst_class_weight: must not be negative");
-  Check(NotNegative(s.max_retry_after), "max_retry_after: must not be negative");
+  Check(NotNegative(settings.warm_up_time), "warm_up_time: must not be negative");
+  Check(Positive(settings.overload_multiple), "overload_multiple: must be above 0");
+  Check(settings.streams_per_connection >= 1, "streams_per_connection: must be at least 1");
+  Check(Positive(settings.max_watch_interval), "max_watch_interval: must be above 0");
+  Check(NotNegative(settings.total_worth_weight), "total_worth_weight: must not be negative");
+  Check(NotNegative(settings.worst_class_weight), "worst_class_weight: must not be negative");
+  Check(NotNegative(settings.max_retry_after), "max_retry_after: must not be negative");
   double worth = 0;
-  for (const ClassSettings& c : s.classes) {
-    Check(Positive(c.deadline), "classes.deadline: must be above 0");
-    Check(Positive(c.aim), "classes.aim: must be above 0");
-    Check(NotNegative(c.worth), "classes.worth: must not be negative");
-    Check(NotNegative(c.late_worth), "classes.late_worth: must not be negative");
-    Check(NotNegative(c.repeat_window), "classes.repeat_window: must not be negative");
-    worth += c.worth;
+  for (const ClassSettings& class_settings : settings.classes) {
+    Check(Positive(class_settings.deadline), "classes.deadline: must be above 0");
+    Check(Positive(class_settings.aim), "classes.aim: must be above 0");
+    Check(NotNegative(class_settings.worth), "classes.worth: must not be negative");
+    Check(NotNegative(class_settings.late_worth), "classes.late_worth: must not be negative");
+    Check(NotNegative(class_settings.repeat_window), "classes.repeat_window: must not be negative");
+    worth += class_settings.worth;
   }
-  for (const TenantSettings& t : s.tenants) {
-    Check(NotNegative(t.quota_per_s), "tenants.quota_per_s: must not be negative");
+  for (const TenantSettings& tenant : settings.tenants) {
+    Check(NotNegative(tenant.quota_per_s), "tenants.quota_per_s: must not be negative");
   }
   return worth;
 }
