--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -23,23 +23,23 @@
   return settings;
 }
 
-struct Fleet {
-  explicit Fleet(int servers) : policy(MakeSettings(), 1) {
-    MembershipUpdate news;
+struct PolicyFixture {
+  explicit PolicyFixture(int servers) : policy(MakeSettings(), 1) {
+    MembershipUpdate update;
     for (int i = 0; i < servers; ++i) {
       Server server;
       server.id = "server-" + std::to_string(i);
       server.kind = i % 2 == 0 ? "old" : "new";
-      news.servers.push_back(server);
+      update.servers.push_back(server);
     }
-    first = news.servers[0];
-    policy.Handle(now, news, actions);
-    for (int i = 0; i < 2 * servers + 1000; ++i) Ask();  // most have been measured
+    first_server = update.servers[0];
+    policy.Handle(now, update, actions);
+    for (int i = 0; i < 2 * servers + 1000; ++i) ServeRequest();  // most have been measured
   }
-  void Ask() {
+  void ServeRequest() {
     now += 0.5;  // 2,000 a second: below the start's rate at any size
     actions.clear();
-    const std::string id = std::to_string(++asked);
+    const std::string id = std::to_string(++requests_sent);
     policy.Handle(now, Request{id, "view", "", "", 2000, false}, actions);
     for (const Action& action : std::vector<Action>(actions)) {
       if (const auto* const send = std::get_if<Send>(&action))
@@ -49,35 +49,36 @@
 
   Policy policy;
   std::vector<Action> actions;
-  Server first;
+  Server first_server;
   Millis now = 1000;
-  std::uint64_t asked = 0;
+  std::uint64_t requests_sent = 0;
 };
 
-void Request(benchmark::State& state) {
-  Fleet fleet(static_cast<int>(state.range(0)));
-  for (auto _ : state) fleet.Ask();
+void ServeRequest(benchmark::State& state) {
+  PolicyFixture fixture(static_cast<int>(state.range(0)));
+  for (auto _ : state) fixture.ServeRequest();
 }
-void NewsOfOne(benchmark::State& state) {
-  Fleet fleet(static_cast<int>(state.range(0)));
+void MembershipDelta(benchmark::State& state) {
+  PolicyFixture fixture(static_cast<int>(state.range(0)));
   bool up = false;
   for (auto _ : state) {
-    fleet.first.state = std::exchange(up, !up) ? ServerState::kUp : ServerState::kDraining;
-    fleet.actions.clear();
-    fleet.policy.Handle(fleet.now += 1, MembershipUpdate{MembershipUpdate::Kind::kDelta, {fleet.first}},
-                        fleet.actions);
+    fixture.first_server.state = std::exchange(up, !up) ? ServerState::kUp : ServerState::kDraining;
+    fixture.actions.clear();
+    fixture.policy.Handle(fixture.now += 1,
+                          MembershipUpdate{MembershipUpdate::Kind::kDelta, {fixture.first_server}},
+                          fixture.actions);
   }
 }
 void Sweep(benchmark::State& state) {
-  Fleet fleet(static_cast<int>(state.range(0)));
+  PolicyFixture fixture(static_cast<int>(state.range(0)));
   for (auto _ : state) {
-    fleet.actions.clear();
-    fleet.policy.Handle(fleet.now += 10, TimerDue{"sweep"}, fleet.actions);
+    fixture.actions.clear();
+    fixture.policy.Handle(fixture.now += 10, TimerDue{"sweep"}, fixture.actions);
   }
 }
 
-BENCHMARK(Request)->Arg(4)->Arg(64)->Arg(1000)->Arg(10000);
-BENCHMARK(NewsOfOne)->Arg(4)->Arg(64)->Arg(1000)->Arg(10000);
+BENCHMARK(ServeRequest)->Arg(4)->Arg(64)->Arg(1000)->Arg(10000);
+BENCHMARK(MembershipDelta)->Arg(4)->Arg(64)->Arg(1000)->Arg(10000);
 BENCHMARK(Sweep)->Arg(4)->Arg(64)->Arg(1000)->Arg(10000);
 
 }  // namespace
--- a/src/simhost_main.cpp
+++ b/src/simhost_main.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 int main() {
-  opalswitch::wire::Host host;
+  opalswitch::wire::SimulatorAdapter adapter;
   std::string pending;
   std::string chunk(1 << 16, '\0');
   unsigned long long line_number = 0;
@@ -40,12 +40,12 @@
     for (std::size_t end; (end = pending.find('\n', start)) != std::string::npos; start = end + 1) {
       ++line_number;
       try {
-        host.Line(std::string_view(pending).substr(start, end - start));
+        adapter.HandleLine(std::string_view(pending).substr(start, end - start));
       } catch (const std::exception& error) {
         std::fprintf(stderr, "opalswitch_simhost: line %llu: %s\n", line_number, error.what());
         return 1;
       }
-      if (const std::string reply = host.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
+      if (const std::string reply = adapter.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
     }
     pending.erase(0, start);
   }
@@ -53,7 +53,7 @@
     std::fprintf(stderr, "opalswitch_simhost: line %llu: input ends inside a line\n", line_number + 1);
     return 1;
   }
-  if (host.InBatch()) {
+  if (adapter.IsInBatch()) {
     std::fprintf(stderr, "opalswitch_simhost: line %llu: input ends inside a batch\n", line_number);
     return 1;
   }
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -9,20 +9,20 @@
 namespace opalswitch::wire {
 namespace {
 
-using Parts = std::vector<std::string_view>;
+using Fields = std::vector<std::string_view>;
 
-void Split(std::string_view text, char mark, Parts& parts) {
-  parts.clear();
+void SplitInto(std::string_view text, char separator, Fields& fields) {
+  fields.clear();
   for (;;) {
-    const std::size_t end = text.find(mark);
-    parts.push_back(text.substr(0, end));
+    const std::size_t end = text.find(separator);
+    fields.push_back(text.substr(0, end));
     if (end == std::string_view::npos) return;
     text.remove_prefix(end + 1);
   }
 }
 
 template <typename T>
-T Number(std::string_view text, const char* what) {
+T ParseNumber(std::string_view text, const char* what) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   bool good = error == std::errc() && end == text.data() + text.size();
@@ -32,30 +32,30 @@
 }
 
 // The value at `i`, or empty where it is absent ("-") or left off the end of the line.
-std::string_view Optional(const Parts& parts, std::size_t i) {
-  return i < parts.size() && parts[i] != "-" ? parts[i] : std::string_view();
+std::string_view OptionalField(const Fields& fields, std::size_t i) {
+  return i < fields.size() && fields[i] != "-" ? fields[i] : std::string_view();
 }
 
-std::string_view Need(const Parts& parts, std::size_t i, const char* what) {
-  const std::string_view text = Optional(parts, i);
-  if (text.empty()) throw WireError(std::string(parts[0]) + " lacks its " + what);
+std::string_view RequiredField(const Fields& fields, std::size_t i, const char* what) {
+  const std::string_view text = OptionalField(fields, i);
+  if (text.empty()) throw WireError(std::string(fields[0]) + " lacks its " + what);
   return text;
 }
 
 template <typename T>
-T NumberOr(const Parts& parts, std::size_t i, const char* what, T otherwise) {
-  const std::string_view text = Optional(parts, i);
-  return text.empty() ? otherwise : Number<T>(text, what);
+T ParseNumberOr(const Fields& fields, std::size_t i, const char* what, T default_value) {
+  const std::string_view text = OptionalField(fields, i);
+  return text.empty() ? default_value : ParseNumber<T>(text, what);
 }
 
-bool Flag(std::string_view text, const char* what) {
+bool ParseFlag(std::string_view text, const char* what) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
   throw WireError(std::string(what) + " is not a flag: '" + std::string(text) + "'");
 }
 
-Result ToResult(std::string_view code) {
-  switch (Number<int>(code, "rc")) {
+Result ParseResult(std::string_view code) {
+  switch (ParseNumber<int>(code, "rc")) {
     case 10: return Result::kServed;
     case 20: return Result::kError;
     case 30: return Result::kRejected;
@@ -68,25 +68,25 @@
   }
 }
 
-std::vector<double> ToLoad(std::string_view text) {
+std::vector<double> ParseLoadReport(std::string_view text) {
   std::vector<double> load;
   if (text.empty()) return load;
-  Parts values;
-  Split(text, ',', values);
+  Fields values;
+  SplitInto(text, ',', values);
   for (const auto value : values) {
     load.push_back(value == "-" ? std::numeric_limits<double>::quiet_NaN()
-                                : Number<double>(value, "load report"));
+                                : ParseNumber<double>(value, "load report"));
   }
   return load;
 }
 
-Server ToServer(const Parts& parts) {
+Server ParseServer(const Fields& fields) {
   Server server;
-  server.id = Need(parts, 1, "host");
-  server.zone = Optional(parts, 2);
-  server.kind = Optional(parts, 3);
-  server.cell = Optional(parts, 4);
-  const std::string_view health = Need(parts, 5, "health");
+  server.id = RequiredField(fields, 1, "host");
+  server.zone = OptionalField(fields, 2);
+  server.kind = OptionalField(fields, 3);
+  server.cell = OptionalField(fields, 4);
+  const std::string_view health = RequiredField(fields, 5, "health");
   if (health == "draining") {
     server.state = ServerState::kDraining;
   } else if (health == "removed") {
@@ -94,12 +94,12 @@
   } else if (health != "up") {
     throw WireError("unknown health '" + std::string(health) + "'");
   }
-  server.weight = NumberOr(parts, 6, "weight", 1.0);
-  server.started_at = NumberOr(parts, 7, "sinceMs", 0.0);
+  server.weight = ParseNumberOr(fields, 6, "weight", 1.0);
+  server.started_at = ParseNumberOr(fields, 7, "sinceMs", 0.0);
   return server;
 }
 
-void Append(std::string& out, double value) {
+void AppendNumber(std::string& out, double value) {
   char buffer[32];
   const auto end = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 3);
   out.append(buffer, end.ptr);
@@ -107,10 +107,10 @@
 
 // A class or tenant list arrives as "categories.2.sloMs": grows the list as its items come.
 template <typename T>
-T* Item(std::vector<T>& items, std::string_view index) {
-  constexpr std::size_t kMostItems = 10000;  // a wild index must not eat the memory
-  const auto i = Number<std::size_t>(index, "list index");
-  if (i >= kMostItems) throw WireError("list index too large: " + std::string(index));
+T* ListItem(std::vector<T>& items, std::string_view index) {
+  constexpr std::size_t kMaxItems = 10000;  // a wild index must not eat the memory
+  const auto i = ParseNumber<std::size_t>(index, "list index");
+  if (i >= kMaxItems) throw WireError("list index too large: " + std::string(index));
   if (i >= items.size()) items.resize(i + 1);
   return &items[i];
 }
@@ -119,15 +119,15 @@
   if (field == "name") {
     c.name = value;
   } else if (field == "sloMs") {
-    c.aim = Number<double>(value, "sloMs");
+    c.aim = ParseNumber<double>(value, "sloMs");
   } else if (field == "deadlineMs") {
-    c.deadline = Number<double>(value, "deadlineMs");
+    c.deadline = ParseNumber<double>(value, "deadlineMs");
   } else if (field == "importance") {
-    c.worth = Number<double>(value, "importance");
+    c.worth = ParseNumber<double>(value, "importance");
   } else if (field == "lateWorth") {
-    c.late_worth = Number<double>(value, "lateWorth");
+    c.late_worth = ParseNumber<double>(value, "lateWorth");
   } else if (field == "repeatWindowMs") {
-    c.repeat_window = Number<double>(value, "repeatWindowMs");
+    c.repeat_window = ParseNumber<double>(value, "repeatWindowMs");
   } else if (field == "idempotency") {
     if (value != "pure" && value != "token" && value != "side_effect") {
       throw std::invalid_argument("classes.effect: unknown '" + std::string(value) + "'");
@@ -147,17 +147,17 @@
   if (field == "name") {
     t.name = value;
   } else if (field == "quotaPerS") {
-    t.quota_per_s = Number<double>(value, "quotaPerS");
+    t.quota_per_s = ParseNumber<double>(value, "quotaPerS");
   }
 }
 
-void ParseSetting(Settings& s, const Parts& path, std::string_view key, std::string_view value) {
-  const auto number = [&] { return Number<double>(value, std::string(key).c_str()); };
-  const auto flag = [&] { return Flag(value, std::string(key).c_str()); };
+void ParseSetting(Settings& s, const Fields& path, std::string_view key, std::string_view value) {
+  const auto number = [&] { return ParseNumber<double>(value, std::string(key).c_str()); };
+  const auto flag = [&] { return ParseFlag(value, std::string(key).c_str()); };
   if (path.size() == 3 && path[0] == "categories") {
-    ParseClass(*Item(s.classes, path[1]), path[2], value);
+    ParseClass(*ListItem(s.classes, path[1]), path[2], value);
   } else if (path.size() == 3 && path[0] == "projects") {
-    ParseTenant(*Item(s.tenants, path[1]), path[2], value);
+    ParseTenant(*ListItem(s.tenants, path[1]), path[2], value);
   } else if (key == "zone") {
     s.zone = value;
   } else if (key == "peersTotal") {
@@ -193,9 +193,9 @@
   } else if (key == "familyInfo.warmKeys") {
     s.has_key_affinity = flag();
   } else if (key == "report.fields") {
-    Parts fields;
-    Split(value, ',', fields);
-    for (const auto field : fields) {
+    Fields names;
+    SplitInto(value, ',', names);
+    for (const auto field : names) {
       if (!field.empty() && field != "-") s.load_report_fields.emplace_back(field);
     }
   }
@@ -203,9 +203,9 @@
 
 }  // namespace
 
-Settings ParseSettings(const Parts& pairs) {
+Settings ParseSettings(const Fields& pairs) {
   Settings settings;
-  Parts path;
+  Fields path;
   for (const auto pair : pairs) {
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) {
@@ -214,161 +214,164 @@
     const std::string_view key = pair.substr(0, equals);
     const std::string_view value = pair.substr(equals + 1);
     if (value.empty() || value == "-") continue;
-    Split(key, '.', path);
+    SplitInto(key, '.', path);
     if (path.back() == "count") continue;
     ParseSetting(settings, path, key, value);
   }
   return settings;
 }
 
-void Host::Line(std::string_view line) {
+void SimulatorAdapter::HandleLine(std::string_view line) {
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-  Split(line, ' ', parts_);
-  const std::string_view word = parts_[0];
-  if (entries_due_ > 0 && word != "ENTRY") {
-    throw WireError("ENTRY lines missing before '" + std::string(word) + "'");
+  SplitInto(line, ' ', fields_);
+  const std::string_view keyword = fields_[0];
+  if (entries_remaining_ > 0 && keyword != "ENTRY") {
+    throw WireError("ENTRY lines missing before '" + std::string(keyword) + "'");
   }
-  if (word == "TURN") {
+  if (keyword == "TURN") {
     if (in_batch_) throw WireError("TURN inside a batch");
-    now_ = Number<double>(Need(parts_, 1, "clock"), "clock");
+    now_ = ParseNumber<double>(RequiredField(fields_, 1, "clock"), "clock");
     in_batch_ = true;
-    at_.reset();
+    target_instance_.reset();
   } else if (!in_batch_) {
-    throw WireError("'" + std::string(word) + "' outside a batch");
-  } else if (word == "EOF_BATCH") {
+    throw WireError("'" + std::string(keyword) + "' outside a batch");
+  } else if (keyword == "EOF_BATCH") {
     in_batch_ = false;
-    context_.reset();
-    reply_ = std::move(body_);
-    body_.clear();
+    reply_instance_.reset();
+    reply_ = std::move(batch_reply_);
+    batch_reply_.clear();
     reply_ += "OK\n";
-  } else if (word == "INSTANCE") {
-    at_ = Number<std::int64_t>(Need(parts_, 1, "number"), "instance");
-  } else if (word == "SNAPSHOT_ROWS") {
-    open_list_ = Number<std::size_t>(Need(parts_, 1, "list"), "list");
-    if (open_list_ >= lists_.size()) throw WireError("list number above 15");
-    lists_[open_list_].clear();
-    entries_due_ = Number<std::size_t>(Need(parts_, 2, "lines"), "lines");
-  } else if (word == "ENTRY") {
-    if (entries_due_ == 0) throw WireError("ENTRY outside a list");
-    lists_[open_list_].push_back(ToServer(parts_));
-    --entries_due_;
+  } else if (keyword == "INSTANCE") {
+    target_instance_ = ParseNumber<std::int64_t>(RequiredField(fields_, 1, "number"), "instance");
+  } else if (keyword == "SNAPSHOT_ROWS") {
+    current_list_ = ParseNumber<std::size_t>(RequiredField(fields_, 1, "list"), "list");
+    if (current_list_ >= lists_.size()) throw WireError("list number above 15");
+    lists_[current_list_].clear();
+    entries_remaining_ = ParseNumber<std::size_t>(RequiredField(fields_, 2, "lines"), "lines");
+  } else if (keyword == "ENTRY") {
+    if (entries_remaining_ == 0) throw WireError("ENTRY outside a list");
+    lists_[current_list_].push_back(ParseServer(fields_));
+    --entries_remaining_;
   } else {
-    Event(parts_);
+    HandleEvent(fields_);
   }
 }
 
-std::string Host::TakeReply() { return std::exchange(reply_, {}); }
+std::string SimulatorAdapter::TakeReply() { return std::exchange(reply_, {}); }
 
-void Host::Create(const Parts& parts) {
-  const auto seed = Number<std::uint64_t>(Need(parts, 1, "nonce64"), "nonce64");
-  policies_.erase(*at_);
+void SimulatorAdapter::CreateInstance(const Fields& fields) {
+  const auto seed = ParseNumber<std::uint64_t>(RequiredField(fields, 1, "nonce64"), "nonce64");
+  policies_.erase(*target_instance_);
   try {
-    Policy policy(ParseSettings(Parts(parts.begin() + 2, parts.end())), seed);
-    policies_.emplace(*at_, std::move(policy));
+    Policy policy(ParseSettings(Fields(fields.begin() + 2, fields.end())), seed);
+    policies_.emplace(*target_instance_, std::move(policy));
   } catch (const std::invalid_argument& error) {
     throw WireError(std::string("settings that cannot work: ") + error.what());
   }
 }
 
-void Host::Event(const Parts& parts) {
-  const std::string_view word = parts[0];
-  if (!at_) throw WireError("'" + std::string(word) + "' before any INSTANCE");
-  if (word == "CREATE") return Create(parts);
-  if (!policies_.contains(*at_)) throw WireError("instance " + std::to_string(*at_) + " does not exist");
-  if (word == "KNOCK") {
+void SimulatorAdapter::HandleEvent(const Fields& fields) {
+  const std::string_view keyword = fields[0];
+  if (!target_instance_) throw WireError("'" + std::string(keyword) + "' before any INSTANCE");
+  if (keyword == "CREATE") return CreateInstance(fields);
+  if (!policies_.contains(*target_instance_))
+    throw WireError("instance " + std::to_string(*target_instance_) + " does not exist");
+  if (keyword == "KNOCK") {
     Request request;
-    request.id = Need(parts, 1, "ticket");
-    request.class_name = Need(parts, 2, "qos");
-    request.tenant = Optional(parts, 3);
-    request.key = Optional(parts, 4);
-    request.time_left = Number<double>(Need(parts, 5, "graceMs"), "graceMs");
-    const auto opts = NumberOr<unsigned>(parts, 7, "opts", 0);
+    request.id = RequiredField(fields, 1, "ticket");
+    request.class_name = RequiredField(fields, 2, "qos");
+    request.tenant = OptionalField(fields, 3);
+    request.key = OptionalField(fields, 4);
+    request.time_left = ParseNumber<double>(RequiredField(fields, 5, "graceMs"), "graceMs");
+    const auto opts = ParseNumberOr<unsigned>(fields, 7, "opts", 0);
     request.retry = (opts & 2) != 0;
-    if ((opts & 1) != 0) request.cost = NumberOr(parts, 6, "estimateMs", 0.0);
-    Deliver(request);
-  } else if (word == "COMPLETED") {
+    if ((opts & 1) != 0) request.cost = ParseNumberOr(fields, 6, "estimateMs", 0.0);
+    DeliverEvent(request);
+  } else if (keyword == "COMPLETED") {
     Outcome outcome;
-    outcome.request = Need(parts, 1, "ticket");
-    outcome.attempt = Number<int>(Need(parts, 2, "trial"), "trial");
-    outcome.server = Need(parts, 3, "host");
-    outcome.result = ToResult(Need(parts, 4, "rc"));
-    outcome.finished = Flag(Need(parts, 5, "ended"), "ended");
-    outcome.latency = NumberOr(parts, 6, "costTimeMs", 0.0);
-    outcome.load = ToLoad(Optional(parts, 7));
-    Deliver(outcome);
-  } else if (word == "FIRED") {
-    Deliver(TimerDue{std::string(Need(parts, 1, "keyBack"))});
-  } else if (word == "EXPIRED") {
-    Deliver(ClientGone{std::string(Need(parts, 1, "ticket"))});
-  } else if (word == "REGISTRY") {
-    const std::string_view kind = Need(parts, 3, "kind");
-    MembershipUpdate news;
+    outcome.request = RequiredField(fields, 1, "ticket");
+    outcome.attempt = ParseNumber<int>(RequiredField(fields, 2, "trial"), "trial");
+    outcome.server = RequiredField(fields, 3, "host");
+    outcome.result = ParseResult(RequiredField(fields, 4, "rc"));
+    outcome.finished = ParseFlag(RequiredField(fields, 5, "ended"), "ended");
+    outcome.latency = ParseNumberOr(fields, 6, "costTimeMs", 0.0);
+    outcome.load = ParseLoadReport(OptionalField(fields, 7));
+    DeliverEvent(outcome);
+  } else if (keyword == "FIRED") {
+    DeliverEvent(TimerDue{std::string(RequiredField(fields, 1, "keyBack"))});
+  } else if (keyword == "EXPIRED") {
+    DeliverEvent(ClientGone{std::string(RequiredField(fields, 1, "ticket"))});
+  } else if (keyword == "REGISTRY") {
+    const std::string_view kind = RequiredField(fields, 3, "kind");
+    MembershipUpdate update;
     if (kind == "X") {
-      news.kind = MembershipUpdate::Kind::kFailed;
+      update.kind = MembershipUpdate::Kind::kFailed;
     } else if (kind == "D" || kind == "F" || kind == "C") {
-      const auto list = Number<std::size_t>(Need(parts, 1, "list"), "list");
+      const auto list = ParseNumber<std::size_t>(RequiredField(fields, 1, "list"), "list");
       if (list >= lists_.size()) throw WireError("list number above 15");
-      news.kind = kind == "D" ? MembershipUpdate::Kind::kDelta : MembershipUpdate::Kind::kFull;
-      news.servers = lists_[list];
+      update.kind = kind == "D" ? MembershipUpdate::Kind::kDelta : MembershipUpdate::Kind::kFull;
+      update.servers = lists_[list];
     } else {
       throw WireError("unknown list kind '" + std::string(kind) + "'");
     }
-    Deliver(news);
-  } else if (word == "FLOWING") {
-    Deliver(
-        StreamStarted{std::string(Need(parts, 1, "ticket")), Number<int>(Need(parts, 3, "trial"), "trial")});
-  } else if (word == "ECHO") {
-    ToResult(Need(parts, 2, "rc"));  // the module never probes: checked and dropped
-    NumberOr(parts, 3, "costTimeMs", 0.0);
-    ToLoad(Optional(parts, 4));
-  } else if (word == "CRASH_NOW") {
-    policies_.erase(*at_);
-  } else if (word == "MESSAGE") {
-    Number<std::int64_t>(Need(parts, 1, "by"), "by");  // gateways share nothing: checked and dropped
+    DeliverEvent(update);
+  } else if (keyword == "FLOWING") {
+    DeliverEvent(StreamStarted{std::string(RequiredField(fields, 1, "ticket")),
+                               ParseNumber<int>(RequiredField(fields, 3, "trial"), "trial")});
+  } else if (keyword == "ECHO") {
+    ParseResult(RequiredField(fields, 2, "rc"));  // the module never probes: checked and dropped
+    ParseNumberOr(fields, 3, "costTimeMs", 0.0);
+    ParseLoadReport(OptionalField(fields, 4));
+  } else if (keyword == "CRASH_NOW") {
+    policies_.erase(*target_instance_);
+  } else if (keyword == "MESSAGE") {
+    ParseNumber<std::int64_t>(RequiredField(fields, 1, "by"),
+                              "by");  // gateways share nothing: checked and dropped
   } else {
-    throw WireError("unknown message '" + std::string(word) + "'");
+    throw WireError("unknown message '" + std::string(keyword) + "'");
   }
 }
 
-void Host::Deliver(const opalswitch::Event& event) {
+void SimulatorAdapter::DeliverEvent(const opalswitch::Event& event) {
   actions_.clear();
-  std::optional<std::string> fault;
+  std::optional<std::string> error_text;
   try {
-    policies_.at(*at_).Handle(now_, event, actions_);
+    policies_.at(*target_instance_).Handle(now_, event, actions_);
   } catch (const std::exception& error) {
     actions_.clear();
-    fault = error.what();
+    error_text = error.what();
   }
-  if (actions_.empty() && !fault) return;
-  if (context_ != at_) body_ += "CONTEXT " + std::to_string(*at_) + "\n";
-  context_ = at_;
-  for (const Action& action : actions_) Print(action);
-  if (fault) body_ += "BAIL_OUT " + *fault + "\n";
+  if (actions_.empty() && !error_text) return;
+  if (reply_instance_ != target_instance_)
+    batch_reply_ += "CONTEXT " + std::to_string(*target_instance_) + "\n";
+  reply_instance_ = target_instance_;
+  for (const Action& action : actions_) AppendAction(action);
+  if (error_text) batch_reply_ += "BAIL_OUT " + *error_text + "\n";
 }
 
-void Host::Print(const Action& action) {
+void SimulatorAdapter::AppendAction(const Action& action) {
   struct Printer {
     std::string& out;
     void operator()(const Send& a) {
       out += "PASS_ON " + a.request + ' ' + a.server + ' ';
-      Append(out, a.timeout);
+      AppendNumber(out, a.timeout);
     }
     void operator()(const Refuse& a) {
       out += "PUSH_BACK " + a.request + ' ';
-      Append(out, a.retry_after);
+      AppendNumber(out, a.retry_after);
     }
     void operator()(const Fail& a) { out += "ERROR " + a.request; }
     void operator()(const Cancel& a) { out += "UNDO_SEND " + a.request + ' ' + std::to_string(a.attempt); }
     void operator()(const SetTimer& a) {
       out += "AFTER ";
-      Append(out, a.delay);
+      AppendNumber(out, a.delay);
       out += ' ' + a.name;
     }
     void operator()(const Watch&) { out += "LISTEN 1"; }
     void operator()(const Log& a) { out += "PRINT " + a.text; }
   };
-  std::visit(Printer{body_}, action);
-  body_ += '\n';
+  std::visit(Printer{batch_reply_}, action);
+  batch_reply_ += '\n';
 }
 
 }  // namespace opalswitch::wire
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -25,34 +25,34 @@
 
 // Hosts the instances of one process. Feed it line after line; after EOF_BATCH it has a reply.
 // The instances share the process and the numbered lists of the wire, and nothing else.
-class Host {
+class SimulatorAdapter {
  public:
   // Consumes one line, without its newline. Throws WireError on a malformed one.
-  void Line(std::string_view line);
+  void HandleLine(std::string_view line);
 
   // After EOF_BATCH: the reply to be written and flushed. Empty while a batch is incomplete.
   std::string TakeReply();
 
   // Whether a batch has begun that EOF_BATCH has not ended yet.
-  bool InBatch() const { return in_batch_; }
+  bool IsInBatch() const { return in_batch_; }
 
  private:
-  void Event(const std::vector<std::string_view>& parts);
-  void Create(const std::vector<std::string_view>& parts);
-  void Deliver(const opalswitch::Event& event);
-  void Print(const Action& action);
+  void HandleEvent(const std::vector<std::string_view>& fields);
+  void CreateInstance(const std::vector<std::string_view>& fields);
+  void DeliverEvent(const opalswitch::Event& event);
+  void AppendAction(const Action& action);
 
   double now_ = 0;
   bool in_batch_ = false;
-  std::optional<std::int64_t> at_;  // the instance that events are addressed to
+  std::optional<std::int64_t> target_instance_;  // the instance that events are addressed to
   std::map<std::int64_t, Policy> policies_;
   std::vector<std::vector<Server>> lists_ = std::vector<std::vector<Server>>(16);
-  std::size_t open_list_ = 0;
-  std::size_t entries_due_ = 0;          // ENTRY lines still to come for the open list
-  std::optional<std::int64_t> context_;  // the instance the reply's actions are addressed to
+  std::size_t current_list_ = 0;
+  std::size_t entries_remaining_ = 0;           // ENTRY lines still to come for the open list
+  std::optional<std::int64_t> reply_instance_;  // the instance the reply's actions are addressed to
   std::vector<Action> actions_;
-  std::vector<std::string_view> parts_;
-  std::string body_;
+  std::vector<std::string_view> fields_;
+  std::string batch_reply_;
   std::string reply_;
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -6,9 +6,9 @@
 namespace opalswitch::wire {
 namespace {
 
-std::string Play(Host& host, std::initializer_list<const char*> lines) {
-  for (const char* line : lines) host.Line(line);
-  return host.TakeReply();
+std::string Play(SimulatorAdapter& adapter, std::initializer_list<const char*> lines) {
+  for (const char* line : lines) adapter.HandleLine(line);
+  return adapter.TakeReply();
 }
 
 constexpr const char* kCreate =
@@ -17,15 +17,15 @@
     "limits.maxAttempts=4 membershipMode=push new.key.of.later=1";
 
 TEST(Wire, EmptyBatchGetsAnEmptyReply) {
-  Host host;
-  EXPECT_EQ(Play(host, {"TURN 1.5", "EOF_BATCH"}), "OK\n");
+  SimulatorAdapter adapter;
+  EXPECT_EQ(Play(adapter, {"TURN 1.5", "EOF_BATCH"}), "OK\n");
 }
 
 TEST(Wire, RequestIsSentThroughTheListOfItsBatch) {
-  Host host;
+  SimulatorAdapter adapter;
   const std::string reply =
-      Play(host, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-                  "REGISTRY 0 1 C", "KNOCK t/1 view - - 400.0 - 0 extra", "EOF_BATCH"});
+      Play(adapter, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                     "REGISTRY 0 1 C", "KNOCK t/1 view - - 400.0 - 0 extra", "EOF_BATCH"});
   EXPECT_NE(reply.find("CONTEXT 3\n"), std::string::npos);
   EXPECT_NE(reply.find("PASS_ON t/1 h1 400.000\n"), std::string::npos) << reply;
 }
@@ -33,9 +33,9 @@
 // Guards the guess of the work: it counts where the bit says so, and what is no number is told by name.
 TEST(Wire, GuessOfTheWorkThatIsNoNumberIsNamed) {
   const auto play = [](const std::string& knock) {
-    Host host;
-    return Play(host, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-                       "REGISTRY 0 1 C", knock.c_str(), "EOF_BATCH"});
+    SimulatorAdapter adapter;
+    return Play(adapter, {"TURN 10", "INSTANCE 3", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                          "REGISTRY 0 1 C", knock.c_str(), "EOF_BATCH"});
   };
   for (const char* const good : {"KNOCK t/1 view - - 400 12.5 1", "KNOCK t/1 view - - 400 - 1",
                                  "KNOCK t/1 view - - 400 oops 0", "KNOCK t/1 view - - 400 -3 3"}) {
@@ -50,46 +50,46 @@
 }
 
 TEST(Wire, ListNumbersAreResolvedInTheOrderOfEvents) {
-  Host host;
+  SimulatorAdapter adapter;
   const std::string reply =
-      Play(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-                  "REGISTRY 0 1 C", "INSTANCE 2", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h2 z k 0 up 1 -",
-                  "REGISTRY 0 1 C", "INSTANCE 1", "KNOCK t/1 view - - 400 - 0", "INSTANCE 2",
-                  "KNOCK t/2 view - - 400 - 0", "EOF_BATCH"});
+      Play(adapter, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                     "REGISTRY 0 1 C", "INSTANCE 2", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h2 z k 0 up 1 -",
+                     "REGISTRY 0 1 C", "INSTANCE 1", "KNOCK t/1 view - - 400 - 0", "INSTANCE 2",
+                     "KNOCK t/2 view - - 400 - 0", "EOF_BATCH"});
   EXPECT_NE(reply.find("PASS_ON t/1 h1"), std::string::npos) << reply;
   EXPECT_NE(reply.find("PASS_ON t/2 h2"), std::string::npos) << reply;
 }
 
 TEST(Wire, InstanceKilledAndMadeAgainInOneBatchStartsEmpty) {
-  Host host;
-  Play(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-              "REGISTRY 0 1 C", "EOF_BATCH"});
-  const std::string reply = Play(host, {"TURN 20", "INSTANCE 1", "CRASH_NOW", kCreate, "SNAPSHOT_ROWS 1 0",
-                                        "REGISTRY 1 1 C", "KNOCK t/1 view - - 400 - 0", "EOF_BATCH"});
+  SimulatorAdapter adapter;
+  Play(adapter, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                 "REGISTRY 0 1 C", "EOF_BATCH"});
+  const std::string reply = Play(adapter, {"TURN 20", "INSTANCE 1", "CRASH_NOW", kCreate, "SNAPSHOT_ROWS 1 0",
+                                           "REGISTRY 1 1 C", "KNOCK t/1 view - - 400 - 0", "EOF_BATCH"});
   EXPECT_EQ(reply.find("PASS_ON"), std::string::npos) << reply;
 }
 
 // What one instance says in the course of `rounds` batches; `others` more share its process.
 std::string Said(int others, int rounds) {
-  Host host;
+  SimulatorAdapter adapter;
   std::string said;
   for (int round = 0; round < rounds; ++round) {
-    host.Line("TURN " + std::to_string(10 * round));
+    adapter.HandleLine("TURN " + std::to_string(10 * round));
     for (int i = 0; i <= others; ++i) {
       // The instance that is watched comes in the middle, so that both neighbours could disturb it.
-      host.Line("INSTANCE " + std::to_string((i + 1) % (others + 1)));
+      adapter.HandleLine("INSTANCE " + std::to_string((i + 1) % (others + 1)));
       if (round == 0) {
         for (const char* line : {kCreate, "SNAPSHOT_ROWS 0 3", "ENTRY h1 z k 0 up 1 -",
                                  "ENTRY h2 z k 0 up 1 -", "ENTRY h3 z k 0 up 1 -", "REGISTRY 0 1 C"}) {
-          host.Line(line);
+          adapter.HandleLine(line);
         }
       }
       const std::string id = "t/" + std::to_string(round);
-      host.Line("KNOCK " + id + " view - - 400 - 0");
-      if (round % 3 != 0) host.Line("FIRED sweep");
+      adapter.HandleLine("KNOCK " + id + " view - - 400 - 0");
+      if (round % 3 != 0) adapter.HandleLine("FIRED sweep");
     }
-    host.Line("EOF_BATCH");
-    const std::string reply = host.TakeReply();
+    adapter.HandleLine("EOF_BATCH");
+    const std::string reply = adapter.TakeReply();
     bool mine = false;
     std::size_t start = 0;
     for (std::size_t end; (end = reply.find('\n', start)) != std::string::npos; start = end + 1) {
@@ -127,23 +127,23 @@
 }
 
 TEST(Wire, KillWithAttemptsOutLeavesNothingBehind) {
-  Host host;
-  Play(host, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-              "REGISTRY 0 1 C", "KNOCK t/1 view - - 400 - 0", "EOF_BATCH"});
-  const std::string reply =
-      Play(host, {"TURN 20", "INSTANCE 1", "CRASH_NOW", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
-                  "REGISTRY 0 1 C", "COMPLETED t/1 0 h1 10 1 5.0 -", "EXPIRED t/1", "EOF_BATCH"});
+  SimulatorAdapter adapter;
+  Play(adapter, {"TURN 10", "INSTANCE 1", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                 "REGISTRY 0 1 C", "KNOCK t/1 view - - 400 - 0", "EOF_BATCH"});
+  const std::string reply = Play(
+      adapter, {"TURN 20", "INSTANCE 1", "CRASH_NOW", kCreate, "SNAPSHOT_ROWS 0 1", "ENTRY h1 z k 0 up 1 -",
+                "REGISTRY 0 1 C", "COMPLETED t/1 0 h1 10 1 5.0 -", "EXPIRED t/1", "EOF_BATCH"});
   EXPECT_EQ(reply.find("t/1"), std::string::npos) << reply;
 }
 
 class Malformed : public ::testing::TestWithParam<const char*> {};
 
 TEST_P(Malformed, LineIsNamedAndRefused) {
-  Host host;
-  Play(host, {"TURN 10", "INSTANCE 1", kCreate, "EOF_BATCH"});
-  host.Line("TURN 11");
-  host.Line("INSTANCE 1");
-  EXPECT_THROW(host.Line(GetParam()), WireError) << GetParam();
+  SimulatorAdapter adapter;
+  Play(adapter, {"TURN 10", "INSTANCE 1", kCreate, "EOF_BATCH"});
+  adapter.HandleLine("TURN 11");
+  adapter.HandleLine("INSTANCE 1");
+  EXPECT_THROW(adapter.HandleLine(GetParam()), WireError) << GetParam();
 }
 
 INSTANTIATE_TEST_SUITE_P(Lines, Malformed,
@@ -155,10 +155,10 @@
                                            "KNOCK t/1 view - - nan - 0", ""));
 
 TEST(Wire, EventForAnInstanceThatDoesNotExistIsRefused) {
-  Host host;
-  host.Line("TURN 1");
-  host.Line("INSTANCE 9");
-  EXPECT_THROW(host.Line("FIRED sweep"), WireError);
+  SimulatorAdapter adapter;
+  adapter.HandleLine("TURN 1");
+  adapter.HandleLine("INSTANCE 9");
+  EXPECT_THROW(adapter.HandleLine("FIRED sweep"), WireError);
 }
 
 }  // namespace
