--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -18,13 +18,13 @@
 // Asks for `n` unsafe requests, one after the other, each of which ends after 10 ms as `result` says by its
 // number and server. Returns the servers they were sent to; empty where one was held.
 template <typename ResultOf>
-std::vector<std::string> SentOneByOne(Gateway& g, int n, ResultOf result) {
+std::vector<std::string> SentOneByOne(FakeGateway& g, int n, ResultOf result) {
   std::vector<std::string> sent;
   for (int i = 0; i < n; ++i) {
     const std::string id = "r" + std::to_string(i);
-    sent.push_back(Gateway::SentTo(g.Ask(id, "pay")));
-    g.Pass(10);
-    if (!sent.back().empty()) g.End(id, sent.back(), result(i, sent.back()), 10);
+    sent.push_back(FakeGateway::ServerSentTo(g.SendRequest(id, "pay")));
+    g.AdvanceTime(10);
+    if (!sent.back().empty()) g.FinishAttempt(id, sent.back(), result(i, sent.back()), 10);
   }
   return sent;
 }
@@ -32,8 +32,8 @@
 // Guards a fleet in which each attempt may break by chance: left out one after the other, servers would leave
 // nowhere to send.
 TEST(Faults, HalfOfTheServersStayWhereAllFailAlike) {
-  Gateway g;
-  g.Servers(4);
+  FakeGateway g;
+  g.SetServerCount(4);
   int broken = 0;
   const auto sent = SentOneByOne(g, 400, [&](int i, const std::string&) {
     const bool breaks = i % 5 < 2;
@@ -46,9 +46,9 @@
 
 // And with only one left of four that are gone whole, that one has it all.
 TEST(Faults, ServersThatServeNothingAreLeftOutEvenWhereFewRemain) {
-  Gateway g;
-  g.Servers(4);
-  g.Serve(80);
+  FakeGateway g;
+  g.SetServerCount(4);
+  g.ServeRequests(80);
   const auto sent = SentOneByOne(g, 300, [](int, const std::string& to) {
     return to == "s0" ? Result::kServed : Result::kConnectFailed;
   });
@@ -58,21 +58,21 @@
 
 // Resends are counted where they add to a jam, not where servers have room and an attempt broke by itself.
 TEST(Faults, BrokenAttemptsGoElsewhereHoweverManyWhileServersHaveRoom) {
-  Gateway g;
-  g.Servers(300);
-  g.Serve(200);
+  FakeGateway g;
+  g.SetServerCount(300);
+  g.ServeRequests(200);
   int further = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const std::string to = Gateway::SentTo(g.Ask(id));
+    const std::string to = FakeGateway::ServerSentTo(g.SendRequest(id));
     ASSERT_NE(to, "");
     g.now += 20;
-    const std::string next = Gateway::SentTo(g.End(id, to, Result::kReset, 20));
+    const std::string next = FakeGateway::ServerSentTo(g.FinishAttempt(id, to, Result::kReset, 20));
     if (next.empty()) continue;
     ++further;
     EXPECT_NE(next, to);
     g.now += 20;
-    g.End(id, next, Result::kServed, 20, 1);
+    g.FinishAttempt(id, next, Result::kServed, 20, 1);
   }
   EXPECT_EQ(further, 400);
 }
@@ -80,16 +80,16 @@
 // Requests that a server of 10 ms is given at once, after 100 rounds in which every n-th answer comes at 500
 // ms.
 std::size_t OutWithLateAnswers(int every) {
-  Gateway g;
-  g.Servers(1);
+  FakeGateway g;
+  g.SetServerCount(1);
   std::size_t out = 0;
   for (int round = 0, asked = 0, ended = 0; round < 200; ++round) {
-    for (int i = 0; i < 12; ++i) g.Ask("r" + std::to_string(++asked));
-    g.Pass(10);
+    for (int i = 0; i < 12; ++i) g.SendRequest("r" + std::to_string(++asked));
+    g.AdvanceTime(10);
     out = g.sent.size();
     for (std::size_t i = 0; i < g.sent.size(); ++i) {
-      g.End(g.sent[i].request, "s0", Result::kServed,
-            round >= 100 && every > 0 && ++ended % every == 0 ? 500 : 10);
+      g.FinishAttempt(g.sent[i].request, "s0", Result::kServed,
+                      round >= 100 && every > 0 && ++ended % every == 0 ? 500 : 10);
     }
     g.sent.clear();
   }
@@ -105,43 +105,43 @@
 
 // Guards requests of clients that wait briefly: they were refused for want of time in which to refuse them.
 TEST(Faults, LittleTimeIsEnoughWhereServersAreIdle) {
-  Gateway g;
-  g.Servers(2);
-  EXPECT_NE(Gateway::SentTo(g.Ask("a", "view", 15)), "");
-  EXPECT_EQ(CauseOf(g.Ask("b", "view", 0)), Cause::kInsufficientTime);
+  FakeGateway g;
+  g.SetServerCount(2);
+  EXPECT_NE(FakeGateway::ServerSentTo(g.SendRequest("a", "view", 15)), "");
+  EXPECT_EQ(CauseOf(g.SendRequest("b", "view", 0)), Cause::kInsufficientTime);
 }
 
 // Guards servers against clients that leave before any server could have answered.
 TEST(Faults, ClientsThatLeaveEarlyDoNotMakeServersSuspect) {
-  Gateway g;
-  g.Servers(2);
-  g.Serve(40);
+  FakeGateway g;
+  g.SetServerCount(2);
+  g.ServeRequests(40);
   for (int i = 0; i < 30; ++i) {
     const std::string id = "brief" + std::to_string(i);
-    const std::string to = Gateway::SentTo(g.Ask(id, "pay", 30));
+    const std::string to = FakeGateway::ServerSentTo(g.SendRequest(id, "pay", 30));
     ASSERT_NE(to, "") << i;
-    g.Pass(30);
-    g.End(id, to, Result::kTimedOut, 30);
+    g.AdvanceTime(30);
+    g.FinishAttempt(id, to, Result::kTimedOut, 30);
   }
 }
 
 TEST(Faults, ARefusalNamesItsCause) {
   Settings s = MakeSettings();
-  Gateway none(s);
-  EXPECT_EQ(CauseOf(none.Ask("a", "nonsense")), Cause::kUnknownClass);
-  none.Ask("b");
-  EXPECT_EQ(CauseOf(none.Pass(400)), Cause::kNoHealthyServer);
+  FakeGateway none(s);
+  EXPECT_EQ(CauseOf(none.SendRequest("a", "nonsense")), Cause::kUnknownClass);
+  none.SendRequest("b");
+  EXPECT_EQ(CauseOf(none.AdvanceTime(400)), Cause::kNoHealthyServer);
   s.max_in_flight = 1;
-  Gateway full(s);
-  full.Servers(2);
-  full.Ask("out");
-  full.Ask("held");
-  EXPECT_EQ(CauseOf(full.Pass(400)), Cause::kNoConnection);
-  Gateway g;
-  g.Servers(2);
-  g.Serve(10);
-  const std::string to = Gateway::SentTo(g.Ask("unsafe", "pay"));
-  EXPECT_EQ(CauseOf(g.End("unsafe", to, Result::kReset, 10)), Cause::kMayHaveRun);
+  FakeGateway full(s);
+  full.SetServerCount(2);
+  full.SendRequest("out");
+  full.SendRequest("held");
+  EXPECT_EQ(CauseOf(full.AdvanceTime(400)), Cause::kNoConnection);
+  FakeGateway g;
+  g.SetServerCount(2);
+  g.ServeRequests(10);
+  const std::string to = FakeGateway::ServerSentTo(g.SendRequest("unsafe", "pay"));
+  EXPECT_EQ(CauseOf(g.FinishAttempt("unsafe", to, Result::kReset, 10)), Cause::kMayHaveRun);
 }
 
 // Guards the weights after a night without requests: fading sums ended in numbers that are none.
@@ -150,19 +150,19 @@
   s.classes = {MakeClass("cheap", Effect::kSafe, 1), MakeClass("dear", Effect::kSafe, 9)};
   s.worst_class_weight = 0.1;
   s.max_in_flight = 1;
-  Gateway g(s);
-  g.Servers(1);
-  g.Serve(40, 20, "cheap");
-  g.Serve(40, 20, "dear");
+  FakeGateway g(s);
+  g.SetServerCount(1);
+  g.ServeRequests(40, 20, "cheap");
+  g.ServeRequests(40, 20, "dear");
   for (int minute = 0; minute < 240; ++minute) {
     g.now += 60000 - 10;
-    g.Pass(10);
+    g.AdvanceTime(10);
   }
-  g.Ask("out", "cheap");
-  g.Ask("a", "cheap");
-  g.Ask("b", "dear");
+  g.SendRequest("out", "cheap");
+  g.SendRequest("a", "cheap");
+  g.SendRequest("b", "dear");
   g.sent.clear();
-  g.End("out", "s0", Result::kServed, 20);
+  g.FinishAttempt("out", "s0", Result::kServed, 20);
   ASSERT_EQ(g.sent.size(), 1u);
   EXPECT_EQ(g.sent[0].request, "b");
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,26 +12,26 @@
 namespace {
 
 // Ends the request's attempt and gives the latency that its server has.
-void Answer(Gateway& g, const std::string& id, const std::string& server, Millis latency,
+void Answer(FakeGateway& gateway, const std::string& id, const std::string& server, Millis latency,
             Result result = Result::kServed) {
-  g.now += latency;
-  g.End(id, server, result, latency);
+  gateway.now += latency;
+  gateway.FinishAttempt(id, server, result, latency);
 }
 
 // Of 300 servers each is as likely as the others, where nothing tells them apart; and what is drawn second
 // differs from what is drawn first.
 TEST(Fleet, AChoiceAmongManyIsEvenAsIfAllWereGoneThrough) {
   constexpr int kServers = 300, kAsks = 60000;
-  Gateway g;
-  g.Servers(kServers);
+  FakeGateway gateway;
+  gateway.SetServerCount(kServers);
   std::map<std::string, int> taken;
   for (int i = 0; i < kAsks; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
+    const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ASSERT_FALSE(server.empty());
     ++taken[server];
-    Answer(g, id, server, 1);
-    if (i % 10 == 0) g.Do(TimerDue{"sweep"});
+    Answer(gateway, id, server, 1);
+    if (i % 10 == 0) gateway.HandleEvent(TimerDue{"sweep"});
   }
   ASSERT_EQ(taken.size(), static_cast<std::size_t>(kServers));
   double chi = 0;
@@ -44,25 +44,25 @@
 // 2 (N - k) / (N (N - 1)).
 TEST(Fleet, TheBetterOfTwoIsTakenAsOftenAsTheLawSays) {
   constexpr int kServers = 100, kAsks = 40000;
-  Gateway g;
-  g.Servers(kServers);
+  FakeGateway gateway;
+  gateway.SetServerCount(kServers);
   // Latencies that differ for good: server k takes k + 10 ms. Enough answers each that the estimates are
   // firm.
   const auto latency = [](const std::string& server) { return 10.0 + std::stoi(server.substr(1)); };
   for (int i = 0; i < 60 * kServers; ++i) {
     const std::string id = "w" + std::to_string(i);
-    const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
+    const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ASSERT_FALSE(server.empty());
-    Answer(g, id, server, latency(server));
-    g.Do(TimerDue{"sweep"});
+    Answer(gateway, id, server, latency(server));
+    gateway.HandleEvent(TimerDue{"sweep"});
   }
   std::vector<int> taken(kServers);
   for (int i = 0; i < kAsks; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
+    const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ++taken[static_cast<std::size_t>(std::stoi(server.substr(1)))];
-    Answer(g, id, server, latency(server));
-    g.Do(TimerDue{"sweep"});
+    Answer(gateway, id, server, latency(server));
+    gateway.HandleEvent(TimerDue{"sweep"});
   }
   for (const int tenth : {0, 3, 6, 9}) {  // by tenths of the ranks
     double seen = 0, law = 0;
@@ -81,30 +81,30 @@
   void Find() {
     for (int i = 0; i < 300; ++i) {
       const std::string id = "f" + std::to_string(i);
-      const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
+      const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
       ASSERT_TRUE(free.contains(server)) << i << " went to '" << server << "'";
-      g.End(id, server, Result::kServed, 5);
+      gateway.FinishAttempt(id, server, Result::kServed, 5);
     }
   }
-  Gateway g;
+  FakeGateway gateway;
   std::set<std::string> free;
 };
 
 TEST_F(FewReady, AmongFullOnesAreFound) {
   std::vector<Server> servers;
   for (int i = 0; i < kServers; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
-  g.List(servers);
+  gateway.SetServers(servers);
   // Fills every server with what it takes, then lets ten of them answer.
   std::map<std::string, std::vector<std::string>> out;
   int held = 0;
   for (int i = 0; held < 50; ++i) {
-    g.now += 0.2;
+    gateway.now += 0.2;
     const std::string id = "r" + std::to_string(i);
-    const std::string server = Gateway::SentTo(g.Ask(id, "pay", 1e9));
+    const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay", 1e9));
     ASSERT_LT(i, 200000);
     if (server.empty()) {
       ++held;
-      g.Do(ClientGone{id});
+      gateway.HandleEvent(ClientGone{id});
     } else {
       out[server].push_back(id);
     }
@@ -112,9 +112,9 @@
   EXPECT_EQ(out.size(), static_cast<std::size_t>(kServers));
   for (int i = 0; i < 10; ++i) free.insert("s" + std::to_string(977 * i));
   for (const std::string& server : free) {
-    for (const std::string& id : out[server]) g.End(id, server, Result::kServed, 5);
+    for (const std::string& id : out[server]) gateway.FinishAttempt(id, server, Result::kServed, 5);
   }
-  g.now += 100;
+  gateway.now += 100;
   Find();
 }
 
@@ -123,21 +123,22 @@
   std::vector<Server> servers;
   for (int i = 0; i < 1000; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
   for (int i = 0; i < 10; ++i) free.insert("s" + std::to_string(97 * i));
-  g.List(servers);
+  gateway.SetServers(servers);
   std::size_t trusted = servers.size();
   for (int asked = 0; trusted > free.size() && asked < 400000;) {
     std::set<std::string> bad;
     trusted = 0;
-    for (const ServerStatus& verdict : g.policy.ServerStatuses()) trusted += !verdict.ejected;
-    for (const ServerStatus& verdict : g.policy.ServerStatuses()) {
+    for (const ServerStatus& verdict : gateway.policy.ServerStatuses()) trusted += !verdict.ejected;
+    for (const ServerStatus& verdict : gateway.policy.ServerStatuses()) {
       if (verdict.ejected || free.contains(verdict.server)) continue;
       if (bad.size() < std::max<std::size_t>(1, trusted / 50)) bad.insert(verdict.server);
     }
     for (std::size_t i = 0; i < 3 * trusted; ++i, ++asked) {  // unsafe ones: no trials on the way
-      g.now += 0.5;
-      const std::string id = "r" + std::to_string(asked), server = Gateway::SentTo(g.Ask(id, "pay", 1e9));
-      g.End(id, server, bad.contains(server) ? Result::kError : Result::kServed, 5);
-      if (i % 20 == 0) g.Do(TimerDue{"sweep"});
+      gateway.now += 0.5;
+      const std::string id = "r" + std::to_string(asked),
+                        server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay", 1e9));
+      gateway.FinishAttempt(id, server, bad.contains(server) ? Result::kError : Result::kServed, 5);
+      if (i % 20 == 0) gateway.HandleEvent(TimerDue{"sweep"});
     }
   }
   ASSERT_EQ(trusted, free.size());
@@ -146,22 +147,22 @@
 
 TEST_F(FewReady, AmongColdOnesAreFound) {
   std::vector<Server> servers;
-  g.now = 1e6;
+  gateway.now = 1e6;
   for (int i = 0; i < 10; ++i) free.insert("s" + std::to_string(977 * i));
   for (int i = 0; i < kServers; ++i) {
     const std::string id = "s" + std::to_string(i);
-    servers.push_back(MakeServer(id, "0", free.contains(id) ? 0 : g.now));
+    servers.push_back(MakeServer(id, "0", free.contains(id) ? 0 : gateway.now));
   }
-  g.List(servers);
+  gateway.SetServers(servers);
   std::map<std::string, int> taken;
   for (int i = 0; i < 5000; ++i) {
-    g.now += 0.5;
+    gateway.now += 0.5;
     const std::string id = "r" + std::to_string(i);
-    const std::string server = Gateway::SentTo(g.Ask(id, "pay"));
+    const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ASSERT_FALSE(server.empty()) << i;
     ++taken[server];
-    g.End(id, server, Result::kServed, 5);
-    if (i % 20 == 0) g.Do(TimerDue{"sweep"});
+    gateway.FinishAttempt(id, server, Result::kServed, 5);
+    if (i % 20 == 0) gateway.HandleEvent(TimerDue{"sweep"});
   }
   // The cold ones get the chance part of a first request, and what the ten earn them.
   for (const auto& [server, n] : taken) {
@@ -171,26 +172,27 @@
 }
 
 TEST(Fleet, TenThousandServersReplacedInOneListLeaveNoneOfTheOld) {
-  Gateway g;
-  g.Servers(10000);
+  FakeGateway gateway;
+  gateway.SetServerCount(10000);
   std::vector<std::pair<std::string, std::string>> out;
   for (int i = 0; i < 200; ++i) {
     const std::string id = "r" + std::to_string(i);
-    out.push_back({id, Gateway::SentTo(g.Ask(id, "view", 1e9))});
+    out.push_back({id, FakeGateway::ServerSentTo(gateway.SendRequest(id, "view", 1e9))});
   }
   std::vector<Server> next;
   for (int i = 0; i < 10000; ++i) next.push_back(MakeServer("n" + std::to_string(i)));
-  g.List(next);
+  gateway.SetServers(next);
   for (const auto& [id, server] : out)
-    g.End(id, server, Result::kServed, 20);  // the old ones end what they have
+    gateway.FinishAttempt(id, server, Result::kServed, 20);  // the old ones end what they have
   for (int i = 0; i < 1000; ++i) {
-    const std::string id = "x" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
+    const std::string id = "x" + std::to_string(i),
+                      server = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     ASSERT_EQ(server.substr(0, 1), "n") << server;
-    g.End(id, server, Result::kServed, 5);
-    g.now += 1;
+    gateway.FinishAttempt(id, server, Result::kServed, 5);
+    gateway.now += 1;
   }
-  g.List({});
-  EXPECT_EQ(Gateway::SentTo(g.Ask("none")), "");
+  gateway.SetServers({});
+  EXPECT_EQ(FakeGateway::ServerSentTo(gateway.SendRequest("none")), "");
 }
 
 TEST(Fleet, ADeltaOfOneServerTakesEffectAtOnceAmongMany) {
@@ -198,42 +200,44 @@
     Settings settings = MakeSettings();
     settings.gateways = gateways;
     settings.index = 3;
-    Gateway g(settings);
-    g.Servers(1000);
+    FakeGateway gateway(settings);
+    gateway.SetServerCount(1000);
     std::set<std::string> drained;
     for (int i = 0; i < 400; ++i) {
-      const std::string id = "r" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
+      const std::string id = "r" + std::to_string(i),
+                        server = FakeGateway::ServerSentTo(gateway.SendRequest(id));
       ASSERT_FALSE(server.empty()) << i << " of " << gateways;
       ASSERT_FALSE(drained.contains(server)) << server;
       Server change = MakeServer(server);
       change.state = ServerState::kDraining;
       if (drained.size() < 100) {
-        g.Do(MembershipUpdate{MembershipUpdate::Kind::kDelta, {change}});
+        gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kDelta, {change}});
         drained.insert(server);
       }
-      g.End(id, server, Result::kServed, 5);
-      g.now += 10;
-      g.Do(TimerDue{"sweep"});
+      gateway.FinishAttempt(id, server, Result::kServed, 5);
+      gateway.now += 10;
+      gateway.HandleEvent(TimerDue{"sweep"});
     }
   }
 }
 
 // What stood at kStartRate for ever: a few servers that answer at once.
 TEST(Rate, GrowsBeyondItsStartWhereItIsUsedUpAndSinksBackWhereNot) {
-  Gateway g;
-  g.Servers(2);
+  FakeGateway gateway;
+  gateway.SetServerCount(2);
   const auto second = [&](int asks) {  // that many in a second, evenly; gives how many were sent at once
     int sent = 0;
     for (int i = 0; i < asks; ++i) {
-      g.now += 1000.0 / asks;
-      if (i % (asks / 100) == 0) g.Do(TimerDue{"sweep"});
-      const std::string id = "r" + std::to_string(g.now), server = Gateway::SentTo(g.Ask(id, "pay"));
+      gateway.now += 1000.0 / asks;
+      if (i % (asks / 100) == 0) gateway.HandleEvent(TimerDue{"sweep"});
+      const std::string id = "r" + std::to_string(gateway.now),
+                        server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
       if (server.empty()) {
-        g.Do(ClientGone{id});
+        gateway.HandleEvent(ClientGone{id});
         continue;
       }
       ++sent;
-      g.End(id, server, Result::kServed, 0.2);
+      gateway.FinishAttempt(id, server, Result::kServed, 0.2);
     }
     return sent;
   };
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -277,23 +277,23 @@
 std::vector<std::vector<Millis>> AsksOfAHundred(bool answers) {
   std::vector<std::vector<Millis>> asks(kGateways);
   for (int i = 0; i < kGateways; ++i) {
-    Settings s = MakeSettings();
-    s.gateways = kGateways;
-    s.index = i;
-    s.requires_watch = true;
-    Gateway g(s, static_cast<std::uint64_t>(i) + 1);
-    const Millis start = g.now;
-    g.Servers(kHosts);
+    Settings settings = MakeSettings();
+    settings.gateways = kGateways;
+    settings.index = i;
+    settings.requires_watch = true;
+    FakeGateway gateway(settings, static_cast<std::uint64_t>(i) + 1);
+    const Millis start = gateway.now;
+    gateway.SetServerCount(kHosts);
     Millis fails_at = 1e300;
-    while (g.now < start + 30000) {
-      for (const Action& a : g.Pass(10)) {
+    while (gateway.now < start + 30000) {
+      for (const Action& a : gateway.AdvanceTime(10)) {
         if (!std::holds_alternative<Watch>(a)) continue;
-        asks[i].push_back(g.now - start);
-        if (!answers) fails_at = g.now + 2000;
+        asks[i].push_back(gateway.now - start);
+        if (!answers) fails_at = gateway.now + 2000;
       }
-      if (g.now < fails_at) continue;
+      if (gateway.now < fails_at) continue;
       fails_at = 1e300;
-      g.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
+      gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     }
   }
   return asks;
@@ -335,39 +335,39 @@
 // How many requests each host got in the last 5 s of 15 from one gateway of a hundred that is asked for more
 // than it may send: hosts answer after 100 ms and report `busy`, or never answer where that is above 1.
 std::map<std::string, int> SentByReport(const std::function<double(const std::string&)>& busy) {
-  Settings s = MakeSettings();
-  s.gateways = kGateways;
-  s.index = 0;
-  s.tenants = {{"shop", 4000}};
-  s.load_report_fields = {"util"};
-  Gateway g(s);
-  g.Servers(kHosts);
+  Settings settings = MakeSettings();
+  settings.gateways = kGateways;
+  settings.index = 0;
+  settings.tenants = {{"shop", 4000}};
+  settings.load_report_fields = {"util"};
+  FakeGateway gateway(settings);
+  gateway.SetServerCount(kHosts);
   struct Out {
     Send send;
     Millis at;
   };
   std::deque<Out> out;
   std::map<std::string, int> sends;
-  const Millis start = g.now;
-  for (int n = 0; g.now < start + 15000; ++n) {
-    if (n % 3 == 0) g.Ask("r" + std::to_string(n), "view", 400, "shop");
-    g.Pass(10);
-    for (const Send& send : g.sent) {
-      out.push_back({send, g.now});
-      if (g.now >= start + 10000) ++sends[send.server];
+  const Millis start = gateway.now;
+  for (int n = 0; gateway.now < start + 15000; ++n) {
+    if (n % 3 == 0) gateway.SendRequest("r" + std::to_string(n), "view", 400, "shop");
+    gateway.AdvanceTime(10);
+    for (const Send& send : gateway.sent) {
+      out.push_back({send, gateway.now});
+      if (gateway.now >= start + 10000) ++sends[send.server];
     }
-    g.sent.clear();
+    gateway.sent.clear();
     std::deque<Out> left;
     for (const Out& o : std::exchange(out, {})) {
       const double load = busy(o.send.server);
       const Millis took = load > 1 ? o.send.timeout : 100;
-      if (g.now - o.at < took) {
+      if (gateway.now - o.at < took) {
         left.push_back(o);
         continue;
       }
       const Result result = load > 1 ? Result::kTimedOut : Result::kServed;
       const std::vector<double> report = load > 1 ? std::vector<double>{} : std::vector<double>{load};
-      g.Do(Outcome{o.send.request, 0, o.send.server, result, load <= 1, took, report});
+      gateway.HandleEvent(Outcome{o.send.request, 0, o.send.server, result, load <= 1, took, report});
     }
     out.insert(out.begin(), left.begin(), left.end());
   }
@@ -404,26 +404,26 @@
 
 // What is kept of hosts, requests and tenants that are long gone would show as memory that grows.
 TEST(LargeFleet, TwoHostsReplacedASecondForAnHourLeaveNothingBehind) {
-  Settings s = MakeSettings();
-  s.gateways = kGateways;
-  Gateway g(s, 7);
+  Settings settings = MakeSettings();
+  settings.gateways = kGateways;
+  FakeGateway gateway(settings, 7);
   std::vector<Server> hosts;
   for (int i = 0; i < kHosts; ++i) hosts.push_back(MakeServer("h" + std::to_string(i)));
-  g.List(hosts);
+  gateway.SetServers(hosts);
   std::size_t at_start = 0;
   for (int n = 0; n < 7200; ++n) {
     Server old = hosts[n % kHosts];
     old.state = ServerState::kGone;
-    hosts[n % kHosts] = MakeServer("h" + std::to_string(kHosts + n), "0", g.now);
-    g.Do(MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, hosts[n % kHosts]}});
-    const std::string id = "r" + std::to_string(n), to = Gateway::SentTo(g.Ask(id));
-    g.now += 500;
-    g.Do(TimerDue{"sweep"});
-    if (!to.empty()) g.End(id, to, n % 5 == 0 ? Result::kError : Result::kServed, 100);
-    g.sent.clear();
+    hosts[n % kHosts] = MakeServer("h" + std::to_string(kHosts + n), "0", gateway.now);
+    gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, hosts[n % kHosts]}});
+    const std::string id = "r" + std::to_string(n), to = FakeGateway::ServerSentTo(gateway.SendRequest(id));
+    gateway.now += 500;
+    gateway.HandleEvent(TimerDue{"sweep"});
+    if (!to.empty()) gateway.FinishAttempt(id, to, n % 5 == 0 ? Result::kError : Result::kServed, 100);
+    gateway.sent.clear();
     if (n == 600) at_start = mallinfo2().uordblks;
   }
-  EXPECT_EQ(g.policy.ServerStatuses().size(), static_cast<std::size_t>(kHosts));
+  EXPECT_EQ(gateway.policy.ServerStatuses().size(), static_cast<std::size_t>(kHosts));
   EXPECT_LE(mallinfo2().uordblks, at_start + 64 * 1024);  // both 0 under a sanitizer's allocator
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -76,7 +76,7 @@
   Settings settings = MakeSettings();
   settings.requires_watch = ask_mode;
   settings.gateways = 1 + static_cast<int>(random() % 4);
-  Gateway g(settings, seed);
+  FakeGateway gateway(settings, seed);
   Checker check{settings, {}, {}, {}};
 
   std::map<std::string, Server> fleet;
@@ -84,7 +84,7 @@
     Server s = MakeServer("s" + std::to_string(i), std::to_string(i % 2));
     fleet[s.id] = s;
   }
-  const auto feed = [&](const Event& e) { check.Apply(g.now, g.Do(e)); };
+  const auto feed = [&](const Event& e) { check.Apply(gateway.now, gateway.HandleEvent(e)); };
   const auto tell = [&](const Server& s) {
     fleet[s.id] = check.servers[s.id] = s;
     check.up[s.id] = s.state == ServerState::kUp;
@@ -95,7 +95,7 @@
   int next = 0;
   double trouble = 0.1;
   for (int step = 0; step < 6000 && !::testing::Test::HasFatalFailure(); ++step) {
-    g.now += 5;
+    gateway.now += 5;
     if (step % 500 == 0) trouble = chance(0.5) ? 0.5 : 0.05;
     if (step % 2 == 0) feed(TimerDue{"sweep"});
     while (step < 5500 && chance(0.4)) {
@@ -104,14 +104,14 @@
       const auto& cls = settings.classes[random() % 3];
       r.class_name = cls.name;
       r.time_left = 50 + static_cast<double>(random() % 1950);
-      check.asks[r.id] = {&cls, g.now + r.time_left, {}, false};
+      check.asks[r.id] = {&cls, gateway.now + r.time_left, {}, false};
       feed(r);
     }
     if (chance(0.01)) {  // a server drains, leaves, or comes back as a new process
       Server s = std::next(fleet.begin(), static_cast<long>(random() % fleet.size()))->second;
       const auto pick = random() % 4;
       s.state = pick == 0 ? ServerState::kDraining : pick == 1 ? ServerState::kGone : ServerState::kUp;
-      if (pick == 2) s.started_at = g.now;
+      if (pick == 2) s.started_at = gateway.now;
       tell(s);
     }
     if (chance(0.002)) feed(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
@@ -120,8 +120,8 @@
       for (std::size_t i = 0; i < ask.tries.size(); ++i) {
         Try& t = ask.tries[i];
         if (!t.out) continue;
-        Outcome o{id, static_cast<int>(i), t.server, Result::kServed, ask.answered, g.now - t.sent, {}};
-        if (g.now >= t.ends) {
+        Outcome o{id, static_cast<int>(i), t.server, Result::kServed, ask.answered, gateway.now - t.sent, {}};
+        if (gateway.now >= t.ends) {
           o.result = Result::kTimedOut;
         } else if (!chance(0.08)) {
           continue;
@@ -149,7 +149,7 @@
              std::none_of(ask.tries.begin(), ask.tries.end(), [](const Try& t) { return t.out; });
     });
     for (const auto& [id, ask] : check.asks) {
-      ASSERT_TRUE(ask.answered || g.now <= ask.until + 20) << "never answered: " << id;
+      ASSERT_TRUE(ask.answered || gateway.now <= ask.until + 20) << "never answered: " << id;
     }
   }
   EXPECT_GT(next, 1000);
