--- a/bench/module.cpp
+++ b/bench/module.cpp
@@ -1,5 +1,6 @@
-// What the decision module's events cost, by the number of servers: a request that is sent and answered, the
-// news of one server, a sweep. No sockets. Compare builds in turns, in one sitting.
+// Cost of the decision module's events by number of servers: a request that is sent and answered, a
+// membership update of one server, and a sweep. No I/O. To compare builds, run them alternately on the same
+// machine.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -34,10 +35,10 @@
     }
     first_server = update.servers[0];
     policy.Handle(now, update, actions);
-    for (int i = 0; i < 2 * servers + 1000; ++i) ServeRequest();  // most have been measured
+    for (int i = 0; i < 2 * servers + 1000; ++i) ServeRequest();  // most servers have latency samples
   }
   void ServeRequest() {
-    now += 0.5;  // 2,000 a second: below the start's rate at any size
+    now += 0.5;  // 2,000 requests/s, below the initial rate for any number of servers
     actions.clear();
     const std::string id = std::to_string(++requests_sent);
     policy.Handle(now, Request{id, "view", "", "", 2000, false}, actions);
--- a/include/opalswitch/policy.hpp
+++ b/include/opalswitch/policy.hpp
@@ -1,11 +1,11 @@
-// opalswitch: the decisions of one gateway that spreads requests over HTTP servers.
+// opalswitch: the load-balancing decisions of one gateway in front of a set of HTTP servers.
 //
-// A Policy is a state machine without I/O. The gateway reports what happens as Events and carries
-// out, in order, the Actions that it gets back. A Policy reads no clock, opens nothing and starts
-// no thread: the same settings, seed and events always give the same actions. One Policy serves
-// one gateway and is called from one thread at a time; several Policies share nothing.
+// Policy is a state machine without I/O. The gateway reports what happens as Events and executes the returned
+// Actions in order. A Policy reads no clock, opens no files or sockets and starts no threads: the same
+// settings, seed and events always produce the same actions. A Policy serves one gateway and must not be
+// called from several threads at once. Policy objects share no state.
 //
-// Times are milliseconds on the gateway's own monotonic clock, from any origin. Ids are opaque.
+// Times are in milliseconds on the gateway's monotonic clock, with an arbitrary origin. Ids are opaque.
 #ifndef OPALSWITCH_POLICY_HPP_
 #define OPALSWITCH_POLICY_HPP_
 
@@ -17,123 +17,133 @@
 
 namespace opalswitch {
 
+// A point in time or a duration, in milliseconds.
 using Millis = double;
 
-// Whether a request may run again. Safe: freely. Keyed: a group of servers drops repeats for a
-// while. Unsafe: never, unless every earlier attempt is known not to have run.
+// Whether a request may be executed more than once.
+//   kSafe:   always.
+//   kKeyed:  repeats are dropped by the servers of the deduplication scope for ClassSettings::repeat_window,
+//            so a retry must stay within both.
+//   kUnsafe: only if every earlier attempt is known not to have run.
 enum class Effect { kSafe, kKeyed, kUnsafe };
-// For keyed classes: which servers drop each other's repeats.
+// The servers among which repeats of a keyed request are dropped: all of them, or those that are in the same
+// zone or cell as the server that the request was first sent to.
 enum class DeduplicationScope { kAll, kZone, kCell };
 
+// A class of requests with a common latency target.
 struct ClassSettings {
   std::string name;
-  Millis aim = 0;       // an answer within this earns the full worth
-  Millis deadline = 0;  // a client's whole patience, over all its tries
-  double worth = 1;
-  double late_worth = 0;  // share of the worth earned between aim and deadline
+  Millis aim = 0;         // latency target: a response within this time earns the full worth
+  Millis deadline = 0;    // the time after which clients give up, including their own retries
+  double worth = 1;       // value of a response within the aim
+  double late_worth = 0;  // fraction of the worth that a response between aim and deadline earns
   Effect effect = Effect::kUnsafe;
-  DeduplicationScope group = DeduplicationScope::kAll;
-  Millis repeat_window = 0;  // keyed: how long repeats are dropped, from the first sending on
+  DeduplicationScope group = DeduplicationScope::kAll;  // kKeyed only
+  Millis repeat_window = 0;  // kKeyed only: how long repeats are dropped, counted from the first attempt
 };
 
 struct TenantSettings {
   std::string name;
-  double quota_per_s = 0;  // requests a second within its share, over all gateways; 0 = unmetered
+  double quota_per_s = 0;  // quota in requests per second over all gateways; 0 = unlimited
 };
 
 struct Settings {
-  std::vector<ClassSettings> classes;  // at least one
+  std::vector<ClassSettings> classes;  // 1 to 64
   std::vector<TenantSettings> tenants;
-  std::string zone;                   // where this gateway stands
-  int gateways = 1;                   // gateways in front of the same servers, this one included
-  int index = -1;                     // which of them this one is, from 0; -1 = unknown
-  bool requires_watch = false;        // the server list answers only when asked (Watch)
-  Millis max_watch_interval = 10000;  // ask mode: longest time without asking
-  int max_attempts = 3;
-  int max_in_flight =
-      0;  // attempts out at once that the gateway has room for, over all servers; 0 = any number
-  int streams_per_connection = 1;  // attempts that one connection to a server carries together
-  bool can_cancel = false;
-  double cold_capacity_fraction = 1;  // a started server can do at least this share of its work ...
-  Millis warm_up_time = 0;            // ... and all of it after this long
-  double overload_multiple = 3;       // a cold server falls over when sent this multiple of what it can do
-  bool has_key_affinity = false;      // a server that met a key lately does less work for it
-  bool clients_mark_retries = false;  // clients say of a request that it is a further try
-  bool sends_retry_after = false;     // clients are told a Refuse's retry_after
-  Millis max_retry_after = 0;         // and heed at most this
-  // How the service is judged, in parts of any sum: by the worth of all that is answered within its aim, and
-  // by the share so answered of the class that fares worst.
+  std::string zone;                   // the gateway's zone
+  int gateways = 1;                   // number of gateways that use the same servers, including this one
+  int index = -1;                     // index of this gateway among them, from 0; -1 = unknown
+  bool requires_watch = false;        // membership updates only arrive in response to a Watch action
+  Millis max_watch_interval = 10000;  // with requires_watch: the longest time without a Watch
+  int max_attempts = 3;               // per request, including the first one
+  int max_in_flight = 0;              // attempts in flight over all servers; 0 = unlimited
+  int streams_per_connection = 1;     // concurrent attempts that one connection to a server carries
+  bool can_cancel = false;            // the gateway supports Cancel
+  double cold_capacity_fraction = 1;  // fraction of its capacity that a server has right after its start;
+  Millis warm_up_time = 0;            // it grows linearly to 1 during this time
+  double overload_multiple = 3;   // a cold server fails when it gets this multiple of its current capacity
+  bool has_key_affinity = false;  // a server does less work for a key that it has handled recently
+  bool clients_mark_retries = false;  // Request::retry is set for clients' retries
+  bool sends_retry_after = false;     // clients receive Refuse::retry_after
+  Millis max_retry_after = 0;         // clients honor retry_after up to this value
+  // Service quality is a weighted sum of two terms; only the ratio of the weights matters. The first is the
+  // worth of all responses within their aim, the second is the fraction of such responses in the class where
+  // it is lowest.
   double total_worth_weight = 1;
   double worst_class_weight = 0;
   std::vector<std::string> load_report_fields;  // names of the values in Outcome::load
 };
 
-// ---- Events: what the gateway tells its Policy -------------------------------------------------
+// ---- Events: reported by the gateway to its Policy ---------------------------------------------
 
-// A client's request has arrived. It will get exactly one final answer: the first kServed
-// outcome (which the gateway hands to the client itself), a Refuse or a Fail.
+// A client's request has arrived. Unless the client disconnects, it gets exactly one final answer: the first
+// kServed outcome (which the gateway forwards to the client itself), a Refuse or a Fail.
 struct Request {
-  std::string id;          // never used again, not even for the client's next try
+  std::string id;          // unique; a client's retry has a new id
   std::string class_name;  // a name from Settings::classes
-  std::string tenant;      // empty where there are none
-  std::string key;         // what the request is about; empty if unknown
-  Millis time_left = 0;    // until the client gives this try up
-  bool retry = false;      // a client's further try at what it was refused before; only where clients say so
-  Millis cost = 0;         // a guess at the work, as time on a server of size 1; 0 = none
+  std::string tenant;      // a name from Settings::tenants; empty without tenants
+  std::string key;         // key for key affinity; empty if unknown
+  Millis time_left = 0;    // until the client gives up on this request
+  bool retry = false;      // the client was refused before; only with Settings::clients_mark_retries
+  Millis cost = 0;         // the client's estimate of the service time on a server of weight 1; 0 = none
 };
 
-// The answer of a streamed class has begun; the attempt now belongs to the client.
+// The gateway has begun to stream a response to the client. The request gets no other final answer, but the
+// attempt's Outcome is still reported.
 struct StreamStarted {
   std::string request;
   int attempt = 0;
 };
 
+// How an attempt ended.
 enum class Result {
-  kServed,
-  kError,          // answered with an error; may have run
-  kRejected,       // turned away unseen; never ran
-  kTimedOut,       // no answer in time; may have run
-  kConnectFailed,  // no connection; never ran
-  kReset,          // connection lost on the way; may have run
-  kCancelled,      // withdrawn by a Cancel; may have run
-  kNotSent,        // the gateway could not send it at all; never ran
-};
-
-// How an attempt ended. Every Send gets exactly one, also after the request is finished.
+  kServed,         // successful response
+  kError,          // error response; may have run
+  kRejected,       // rejected by the server before execution; never ran
+  kTimedOut,       // no response within Send::timeout; may have run
+  kConnectFailed,  // connection not established; never ran
+  kReset,          // connection lost after sending; may have run
+  kCancelled,      // ended by a Cancel; may have run
+  kNotSent,        // the gateway could not send it; never ran
+};
+
+// The end of an attempt. Each Send gets exactly one Outcome, even if the request already has its final
+// answer.
 struct Outcome {
   std::string request;
-  int attempt = 0;  // 0, 1, 2 ... in the order of the request's Sends
+  int attempt = 0;  // index of the Send among those of the request, from 0
   std::string server;
   Result result = Result::kServed;
-  bool finished = false;     // the request is over: by this outcome or before it
-  Millis latency = 0;        // since the Send
-  std::vector<double> load;  // the server's load report, as in Settings::load_report_fields; may be empty
+  bool finished = false;     // the request has its final answer, through this outcome or earlier
+  Millis latency = 0;        // time since the Send
+  std::vector<double> load;  // the server's load report: Settings::load_report_fields in order, or empty
 };
 
-// The client has left; nothing is owed for the request any more.
+// The client has disconnected; the request needs no final answer any more.
 struct ClientGone {
   std::string request;
 };
 
-// A timer set by SetTimer is due.
+// A timer that was set by SetTimer has expired.
 struct TimerDue {
   std::string name;
 };
 
+// kDraining: gets no new requests; those in flight finish. kGone: removed.
 enum class ServerState { kUp, kDraining, kGone };
 
 struct Server {
-  std::string id;  // survives restarts of the same machine
-  std::string zone;
-  std::string kind;
-  std::string cell;
+  std::string id;    // stays the same when the server process restarts
+  std::string zone;  // availability zone
+  std::string kind;  // hardware or software variant; servers of a kind share latency statistics
+  std::string cell;  // unit of deduplication, see DeduplicationScope
   ServerState state = ServerState::kUp;
-  double weight = 1;      // relative size
-  Millis started_at = 0;  // when its process last started; 0 = long ago
+  double weight = 1;      // relative capacity; values that are not above 0 count as 1
+  Millis started_at = 0;  // start time of the server process; 0 = long ago
 };
 
-// News of the servers. A full list replaces what was known; a delta changes only what it names.
-// A failed call carries no servers: the last list stays valid.
+// A change of the server list. kFull replaces the list; kDelta adds or updates only the servers it contains.
+// kFailed reports that the membership source failed: it carries no servers and the last list stays in effect.
 struct MembershipUpdate {
   enum class Kind { kFull, kDelta, kFailed };
   Kind kind = Kind::kFull;
@@ -142,83 +152,87 @@
 
 using Event = std::variant<Request, StreamStarted, Outcome, ClientGone, TimerDue, MembershipUpdate>;
 
-// ---- Actions: what the gateway is to do, in this order -----------------------------------------
+// ---- Actions: to be executed by the gateway, in order ------------------------------------------
 
-// Why a request is refused or failed, for people: nothing may be decided by it.
+// The cause of a refusal or failure. Informational: programs must not base decisions on it.
 enum class Cause {
-  kUnknownClass,
-  kInsufficientTime,      // it came with too little time left to be answered, or to be worth anything
-  kQueueFull,             // its class's queue is full
-  kOverQuota,             // it gave way to requests within their share
-  kRateLimited,           // it waited for a token as long as it may
-  kConcurrencyLimited,    // the same, for a server that takes more
-  kNoHealthyServer,       // the same, and none is trusted
-  kNoConnection,          // the same, for a connection of the gateway's own
-  kMayHaveRun,            // an attempt broke that may have run, and must not run twice
-  kSlowResponse,          // its server answers others, but not it
-  kNoTimeForRetry,        // an attempt broke, and another could not be in time
-  kAttemptsExhausted,     // all attempts that it may have broke
-  kRetryBudgetExhausted,  // an attempt broke, and servers are too busy for more resends
-};
-// In one word, "queue", by which logs and clients are told of it.
+  kUnknownClass,          // Request::class_name is not in Settings::classes
+  kInsufficientTime,      // on arrival, too little time was left to answer it, or to answer it with any worth
+  kQueueFull,             // the queue of its class is full
+  kOverQuota,             // beyond its tenant's quota, and displaced by requests within quota
+  kRateLimited,           // no token became available within the maximum queueing time
+  kConcurrencyLimited,    // no server below its concurrency limit became available within that time
+  kNoHealthyServer,       // as kConcurrencyLimited, but there is no server that may be sent requests
+  kNoConnection,          // Settings::max_in_flight was reached throughout that time
+  kMayHaveRun,            // an attempt that may have run failed, and the class must not run twice
+  kSlowResponse,          // an attempt timed out on a server that still answers other requests
+  kNoTimeForRetry,        // an attempt failed, and a retry could not be answered in time
+  kAttemptsExhausted,     // Settings::max_attempts attempts failed
+  kRetryBudgetExhausted,  // an attempt failed, and the retry budget is used up
+};
+// The cause as one lowercase word, for logs and clients. The words are part of the external interface.
 const char* CauseName(Cause cause);
 
-// Start an attempt. After `timeout` it ends with kTimedOut.
+// Start an attempt. It ends with kTimedOut if there is no response after `timeout`.
 struct Send {
   std::string request;
   std::string server;
   Millis timeout = 0;
 };
-// Final answer: turned away, trying again is harmless. retry_after 0 = no advice.
+// Final answer: the request is refused, and a retry by the client is harmless.
 struct Refuse {
   std::string request;
-  Millis retry_after = 0;
+  Millis retry_after = 0;  // when the client should retry; 0 = no advice
   Cause cause = Cause::kUnknownClass;
 };
-// Final answer: failed; it may or may not have run.
+// Final answer: the request failed and may have run.
 struct Fail {
   std::string request;
   Cause cause = Cause::kMayHaveRun;
 };
-// Stop waiting for one attempt. Its Outcome still comes.
+// Abort one attempt. Its Outcome must still be reported.
 struct Cancel {
   std::string request;
   int attempt = 0;
 };
+// Report a TimerDue with this name after `delay`.
 struct SetTimer {
   Millis delay = 0;
   std::string name;
 };
-// Subscribe to changes of the server list; answered by MembershipUpdate. Only in ask mode.
+// Request the server list from the membership source; the response is a MembershipUpdate. Only with
+// Settings::requires_watch.
 struct Watch {};
-// A line for the gateway's log.
+// Write a line to the gateway's log.
 struct Log {
   std::string text;
 };
 
 using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Watch, Log>;
 
-// What a Policy makes of a server, for those who hand its decisions on to proxies instead of sending.
+// The Policy's assessment of a server, for callers that pass it on to proxies instead of sending requests.
 struct ServerStatus {
   std::string server;
-  double weight = 0;     // part of the requests that it should get, relative to the others': its size, times
-                         // its warmth, times how much faster than the usual server it answers
-  bool ejected = false;  // left out for failing
+  // Load-balancing weight relative to the other servers: the configured weight, times the fraction of its
+  // capacity that the server has while it warms up, times the median latency over its own, which is clamped.
+  double weight = 0;
+  bool ejected = false;  // excluded by outlier detection because of failures
 };
 
 class Policy {
  public:
-  // Throws std::invalid_argument naming the field when the settings cannot work.
+  // Throws std::invalid_argument, whose text starts with the field's name, if the settings are invalid.
   Policy(Settings settings, std::uint64_t seed);
   ~Policy();
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Handles one event at time `now`, which never runs backwards, and appends what is to be done
-  // to `actions` (which is not cleared). Give it the server list first: nothing is sent before.
+  // Handles one event at time `now` and appends the resulting actions to `actions`, which is not cleared. A
+  // `now` before that of an earlier event counts as the latter. No request is sent before the first
+  // MembershipUpdate.
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-  // Of the servers that are up, in the order of their ids, as of the last event.
+  // The servers that are up, ordered by id, as of the last event.
   std::vector<ServerStatus> ServerStatuses() const;
 
  private:
--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -1,10 +1,12 @@
-// Attempts, what comes of them, whether there is another, and the final answer.
+// Attempts: sending, outcomes, retries and the final answer.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr double kClassLatencySmoothingFactor = 0.01;  // weight of a new sample in a class's latency
-constexpr Millis kMinRetryAfterMs = 10;                // ms; "at once" would be no advice
+// Smoothing factor of a class's latency, of the mean latency and of the mean cost estimate.
+constexpr double kClassLatencySmoothingFactor = 0.01;
+// Lower bound of Refuse::retry_after: clients must not retry at once.
+constexpr Millis kMinRetryAfterMs = 10;
 
 void Policy::Impl::SendAttempt(ActiveRequest& request, TrackedServer& server) {
   const Millis deadline =
@@ -13,7 +15,7 @@
   spent_rate_ += 1000 / SpentRateWindow();
   if (HasSendBudget(server)) server.send_credit -= 1;
   ++server.in_flight;
-  if (server.is_ejected) UpdateServerIndex(server);  // one trial at a time
+  if (server.is_ejected) UpdateServerIndex(server);  // only one probe in flight at a time
   ++attempts_in_flight_;
   ++server.attempt_refs;
   request.attempts.push_back({&server, now_});
@@ -27,7 +29,7 @@
   Attempt& attempt = request.attempts[outcome.attempt];
   if (!std::exchange(attempt.in_flight, false)) return;
   if (!std::isfinite(outcome.latency) || outcome.latency < 0)
-    outcome.latency = now_ - attempt.sent_at;  // never into an estimate
+    outcome.latency = now_ - attempt.sent_at;  // invalid values must not reach the estimates
   attempt.may_have_run = outcome.result != Result::kRejected && outcome.result != Result::kConnectFailed &&
                          outcome.result != Result::kNotSent;
   TrackedServer& server = *attempt.server;
@@ -37,9 +39,10 @@
     RecordClassLatency(classes_[request.class_index], outcome.latency);
     if (now_ <= request.aim_deadline) classes_[request.class_index].timely_count += 1;
   }
-  if (outcome.result != Result::kCancelled &&
-      outcome.result != Result::kNotSent) {      // these tell nothing of the server
-    UpdateRefillRate(server, request, outcome);  // first: by whether the server was held ready until now
+  // Cancelled and unsent attempts say nothing about the server.
+  if (outcome.result != Result::kCancelled && outcome.result != Result::kNotSent) {
+    // Comes first because it depends on whether the server was ejected before this outcome.
+    UpdateRefillRate(server, request, outcome);
     RecordLoadReport(server, outcome.load);
     RecordServerOutcome(server, request, outcome);
   }
@@ -63,7 +66,7 @@
 }
 
 void Policy::Impl::RecordClassLatency(ClassState& class_state, Millis latency) {
-  // Where no guess tells them apart, some requests of a hundred times the usual would speak for all.
+  // Without cost estimates, a few requests with a hundred times the usual work would dominate the mean.
   if (mean_estimated_cost_ <= 0 && class_state.latency_samples >= kMinLatencySamples)
     latency = std::min(latency, kMaxRelativeWork * class_state.latency_ewma);
   class_state.latency_ewma += std::max(kClassLatencySmoothingFactor, 1.0 / ++class_state.latency_samples) *
@@ -72,7 +75,8 @@
       std::max(kClassLatencySmoothingFactor, 1.0 / ++latency_samples_) * (latency - mean_latency_);
 }
 
-// Another attempt only where it is legal, can still be in time, and the server was to blame.
+// A retry is made only if the request's effect allows it, it can still be answered in time, and the failure
+// was caused by the server and not by the request.
 void Policy::Impl::RetryOrAnswer(ActiveRequest& request, Result result) {
   const ClassSettings& class_settings = classes_[request.class_index].settings;
   const bool may_run_again = request.NeverRan() || class_settings.effect != Effect::kUnsafe;
@@ -86,7 +90,7 @@
   if (timed_out_on_available_server) return SendFinalAnswer(request, Cause::kSlowResponse);
   if (!can_be_in_time) return SendFinalAnswer(request, Cause::kNoTimeForRetry);
   if (!has_attempts_left) return SendFinalAnswer(request, Cause::kAttemptsExhausted);
-  // Resends are counted only where they add to a jam, or what failed may be one: else nothing is short.
+  // Retries take from the budget only if they add to an overload, or if the failure may be a sign of one.
   const bool may_be_overload = result == Result::kRejected || result == Result::kTimedOut;
   if (may_be_overload || queued_requests_ > 0 || AreServersLoaded()) {
     if (retry_budget_ < 1) return SendFinalAnswer(request, Cause::kRetryBudgetExhausted);
@@ -95,7 +99,7 @@
   AddToQueue(request, classes_[request.class_index].retry_queue);
 }
 
-// The final answer to a request with no attempt out. A refusal says that trying again is harmless.
+// Requires that the request has no attempt in flight.
 void Policy::Impl::SendFinalAnswer(ActiveRequest& request, Cause cause) {
   const ClassSettings& class_settings = classes_[request.class_index].settings;
   const bool retry_is_harmless =
@@ -109,15 +113,14 @@
 
 Millis Policy::Impl::RetryAfterAdvice() const {
   if (!settings_.sends_retry_after) return 0;
-  // With no queue a place comes free, on average, within half of the time that an answer takes.
+  // Without a queue, a server takes half of the mean latency, on average, until it can accept a request.
   const Millis queue_drain_ms = 1000 * static_cast<double>(queued_requests_) / std::max(spent_rate_, 1.0);
   return std::min(settings_.max_retry_after, std::max({queue_drain_ms, mean_latency_ / 2, kMinRetryAfterMs}));
 }
 
-// Forgets a request that is answered and has nothing out. `request` may be gone afterwards.
 void Policy::Impl::RemoveIfFinished(ActiveRequest& request) {
   if (!request.is_answered || request.is_queued || request.HasAttemptInFlight()) return;
-  for (const Attempt& a : request.attempts) --a.server->attempt_refs;
+  for (const Attempt& attempt : request.attempts) --attempt.server->attempt_refs;
   requests_.erase(request.id);
 }
 
--- a/src/module/fleet.hpp
+++ b/src/module/fleet.hpp
@@ -1,5 +1,6 @@
-// The servers of one Policy, indexed so that choosing one, and what is summed over all, costs the same
-// however many there are. Plain bookkeeping: what is ready, and when, the Policy says.
+// Index over a Policy's servers. It keeps the cost of selecting a server, and of sums over all servers,
+// independent of their number. It makes no decisions: the Policy determines which servers are ready, and
+// when.
 #ifndef OPALSWITCH_FLEET_HPP_
 #define OPALSWITCH_FLEET_HPP_
 
@@ -12,7 +13,8 @@
 
 namespace opalswitch {
 
-// Ordered by time; of one time by the order in which the servers were first told, so that it is repeatable.
+// Orders by time, then by the order in which servers were added. Comparing pointers instead would make the
+// order differ between runs.
 struct EarlierFirst {
   bool operator()(const std::pair<Millis, TrackedServer*>& a,
                   const std::pair<Millis, TrackedServer*>& b) const {
@@ -20,13 +22,15 @@
   }
 };
 
+// Does not own the servers. A server must be updated with is_up == false before it is destroyed.
 class ServerIndex {
  public:
-  // Puts a server where it belongs by its up, mine, suspect, weight, limit and next trial; `warm_at` is when
-  // it has warmed up. To be called after any of these changed, and whenever it may have become ready.
+  // Updates the index after a change of is_up, in_subset, is_ejected, in_flight, the weight, the concurrency
+  // limit or next_probe_at, and whenever the server may have become ready. `warm_at` is the end of its
+  // warm-up.
   void UpdateServer(TrackedServer& server, Millis now, Millis warm_at) {
-    const bool is_available = server.is_up && !server.is_ejected,
-               receives_requests = is_available && server.in_subset;
+    const bool is_available = server.is_up && !server.is_ejected;
+    const bool receives_requests = is_available && server.in_subset;
     UpdateSum(available_weight_, server.counted_available_weight, is_available ? server.info.weight : 0);
     UpdateSum(up_weight_, server.counted_up_weight, server.is_up ? server.info.weight : 0);
     UpdateSum(total_concurrency_limit_, server.counted_concurrency_limit,
@@ -41,10 +45,10 @@
     receives_requests ? MarkReady(server) : MarkNotReady(server);
   }
 
-  // Servers that may be ready, in no order.
+  // Servers that may be ready for a request, in no particular order.
   std::size_t ready_count() const { return ready_.size(); }
   TrackedServer& ready_server(std::size_t i) const { return *ready_[i]; }
-  // It can't be ready before it is placed again ...
+  // Excludes a server until the next UpdateServer.
   void MarkNotReady(TrackedServer& server) {
     if (server.ready_position == TrackedServer::kNotIndexed) return;
     ready_[server.ready_position] = ready_.back();
@@ -52,12 +56,12 @@
     ready_.pop_back();
     server.ready_position = TrackedServer::kNotIndexed;
   }
-  // ... or this time has come.
+  // Excludes a server until the next UpdateServer, or until ReactivateDueServers at `until` or later.
   void MarkNotReadyUntil(TrackedServer& server, Millis until) {
     MarkNotReady(server);
     UpdateTimeIndex(backing_off_, server, server.backoff_key, true, until);
   }
-  // At most `max_servers` of those whose time has come.
+  // Includes servers again whose MarkNotReadyUntil time has passed, at most `max_servers` of them.
   void ReactivateDueServers(Millis now, int max_servers) {
     while (max_servers-- > 0 && !backing_off_.empty() && backing_off_.begin()->first <= now) {
       TrackedServer& server = *backing_off_.begin()->second;
@@ -65,7 +69,8 @@
       MarkReady(server);
     }
   }
-  // The suspect whose trial is due first and that `fits`; of the first few that are due.
+  // Returns the ejected server with the earliest due probe for which `matches` is true, or null. Only the
+  // first `max_probes` due probes are considered.
   template <typename Predicate>
   TrackedServer* FindDueProbe(Millis now, int max_probes, Predicate matches) const {
     for (auto probe = probes_.begin(); probe != probes_.end() && probe->first <= now && max_probes-- > 0;
@@ -74,7 +79,7 @@
     }
     return nullptr;
   }
-  // Takes note of servers that have warmed up.
+  // Adds servers whose warm-up has ended to warm_weight().
   void CountWarmedUpServers(Millis now) {
     while (!warming_up_.empty() && warming_up_.begin()->first <= now) {
       TrackedServer& server = *warming_up_.begin()->second;
@@ -83,19 +88,25 @@
     }
   }
 
-  double up_weight() const { return up_weight_; }                // of those that are up
-  double available_weight() const { return available_weight_; }  // of those that are up and no suspects
-  double warm_weight() const { return warm_weight_; }            // of the warm ones of these
-  double total_concurrency_limit() const { return total_concurrency_limit_; }  // of those that are sent to
+  // Sum of the weights of servers that are up.
+  double up_weight() const { return up_weight_; }
+  // Sum of the weights of servers that are up and not ejected.
+  double available_weight() const { return available_weight_; }
+  // Sum of the weights of servers that are up, not ejected and warm.
+  double warm_weight() const { return warm_weight_; }
+  // Sum of the concurrency limits of the servers in the subset that are up and not ejected.
+  double total_concurrency_limit() const { return total_concurrency_limit_; }
 
  private:
   using TimeIndex = std::set<std::pair<Millis, TrackedServer*>, EarlierFirst>;
 
-  static void UpdateSum(double& sum, double& counted, double now) {
-    if (counted == now) return;
-    sum += now - counted;
-    counted = now;
+  // Replaces a server's contribution to `sum`.
+  static void UpdateSum(double& sum, double& counted, double contribution) {
+    if (counted == contribution) return;
+    sum += contribution - counted;
+    counted = contribution;
   }
+  // Inserts, moves or removes a server; `key` is its time in the index, or kNotScheduled.
   static void UpdateTimeIndex(TimeIndex& index, TrackedServer& server, Millis& key, bool is_member,
                               Millis time) {
     const Millis new_key = is_member ? time : TrackedServer::kNotScheduled;
@@ -111,8 +122,13 @@
   }
 
   std::vector<TrackedServer*> ready_;
-  TimeIndex backing_off_, probes_, warming_up_;
-  double up_weight_ = 0, available_weight_ = 0, warm_weight_ = 0, total_concurrency_limit_ = 0;
+  TimeIndex backing_off_;  // servers that are excluded until a time
+  TimeIndex probes_;       // ejected servers, by the time of the next probe
+  TimeIndex warming_up_;   // servers, by the end of their warm-up
+  double up_weight_ = 0;
+  double available_weight_ = 0;
+  double warm_weight_ = 0;
+  double total_concurrency_limit_ = 0;
 };
 
 }  // namespace opalswitch
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -1,27 +1,30 @@
-// Which servers there are, and which of them this gateway uses.
+// Membership updates, and the subset of servers that this gateway uses.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr double kTargetGatewaysPerServer = 12;  // gateways that use a server, where there are more than that
-constexpr double kMinSubsetServers = 6;  // servers that a gateway uses at the least: some may fail together
-constexpr double kMultiplexedSubsetFraction =
-    0.5;  // part of both where connections stay open: full tables cost capacity
-constexpr Millis kMinWatchBackoffMs =
-    100;  // ms before a failed list call is made again, at the least; doubles
-constexpr Millis kWatchSpreadPerGatewayMs =
-    50;  // ms that each gateway is given for its call where all have to make one
-constexpr Millis kSubsetUpdateMsPerServer =
-    0.02;  // ms for each server between two choices of a large fleet's subset
+// Mean number of gateways that use a server, where there are more gateways than that.
+constexpr double kTargetGatewaysPerServer = 12;
+// Minimum size of a subset, because some of its servers may fail at the same time.
+constexpr double kMinSubsetServers = 6;
+// Factor of both with multiplexed connections. These stay open, and servers lose capacity with full
+// connection tables.
+constexpr double kMultiplexedSubsetFraction = 0.5;
+// Minimum backoff after a failed membership request; doubles with each failure.
+constexpr Millis kMinWatchBackoffMs = 100;
+// Where all gateways make a membership request at the same time, they spread them over this time per gateway.
+constexpr Millis kWatchSpreadPerGatewayMs = 50;
+// Minimum time per server between two selections of the subset of a large membership.
+constexpr Millis kSubsetUpdateMsPerServer = 0.02;
 
-// Over this time the calls of all gateways are spread, where all may call at once.
 Millis Policy::Impl::WatchSpread() const {
   return std::min(kWatchSpreadPerGatewayMs * (settings_.gateways - 1), settings_.max_watch_interval / 2);
 }
 
 void Policy::Impl::HandleEvent(const MembershipUpdate& update) {
   if (update.kind == MembershipUpdate::Kind::kFailed) {
-    // Ask later each time, never all at once: calls that time out in a line are worked through nevertheless.
+    // Exponential backoff with jitter, at least the spread of all gateways: a membership source with a queue
+    // works through the queued requests even if they have timed out.
     watch_backoff_ = std::min(std::max({kMinWatchBackoffMs, WatchSpread(), watch_backoff_ * 2}),
                               settings_.max_watch_interval / 2);
     next_watch_at_ = now_ + watch_backoff_ * (0.5 + Uniform());
@@ -30,7 +33,10 @@
   watch_backoff_ = 0;
   const bool is_full = update.kind == MembershipUpdate::Kind::kFull;
   if (is_full) {
-    for (auto& [id, server] : servers_) server.is_up = false, down_servers_.insert(id);
+    for (auto& [id, server] : servers_) {
+      server.is_up = false;
+      down_servers_.insert(id);
+    }
     servers_up_ = 0;
   }
   for (const Server& info : update.servers) {
@@ -38,26 +44,30 @@
     if (!is_full) UpdateSubset(&server);
   }
   if (is_full) UpdateSubset();
+  // Remove servers that are down once no request refers to them.
   for (auto it = down_servers_.begin(); it != down_servers_.end();) {
     const auto found = servers_.find(*it);
     const bool is_up = found != servers_.end() && found->second.is_up;
-    const bool removes = found != servers_.end() && !is_up && found->second.attempt_refs == 0;
-    if (removes) {
-      UpdateServerIndex(found->second);  // in no index any more
+    const bool remove = found != servers_.end() && !is_up && found->second.attempt_refs == 0;
+    if (remove) {
+      UpdateServerIndex(found->second);  // removes it from the index
       servers_.erase(found);
     }
-    it = is_up || removes || found == servers_.end() ? down_servers_.erase(it) : std::next(it);
+    it = is_up || remove || found == servers_.end() ? down_servers_.erase(it) : std::next(it);
   }
 }
 
-// Puts the servers that are up on a ring, those of each kind evenly, by an order that all gateways share.
+// Places the servers that are up on a ring, in the same order at all gateways. The servers of each kind are
+// spread evenly, so that subsets contain all kinds in the same proportion.
 void Policy::Impl::BuildRing() {
   ring_.clear();
-  std::map<const ServerKindStats*, double> kind_size, kind_rank;
+  std::map<const ServerKindStats*, double> kind_size;
+  std::map<const ServerKindStats*, double> kind_rank;
   for (auto& [id, server] : servers_) {
     server.in_subset = false;
-    if (server.is_up)
-      ring_.push_back({static_cast<double>(server.hash >> 11), &server}), ++kind_size[server.kind_stats];
+    if (!server.is_up) continue;
+    ring_.push_back({static_cast<double>(server.hash >> 11), &server});
+    ++kind_size[server.kind_stats];
   }
   std::sort(ring_.begin(), ring_.end());
   for (auto& [position, server] : ring_)
@@ -67,9 +77,9 @@
   });
 }
 
-// Subsetting: where many gateways share the servers each keeps to a few, or it learns nothing of any, and
-// connections fill the servers' tables. Gateways start by the golden ratio of their index, which covers the
-// ring. The next comes in for one that is ejected. `only`: nothing but this server has changed.
+// Subsetting: where many gateways share the servers, each gateway uses only a few of them. Otherwise it would
+// learn little about each, and connections would fill the servers' tables. A gateway uses consecutive servers
+// from its position on the ring; ejected servers are replaced by the next ones.
 void Policy::Impl::UpdateSubset(TrackedServer* changed) {
   const double servers_up = servers_up_;
   const double subset_fraction = settings_.streams_per_connection > 1 ? kMultiplexedSubsetFraction : 1;
@@ -79,8 +89,9 @@
   const bool use_all = subset_size >= servers_up;
   if (!use_all && changed != nullptr && servers_up > kMaxServersForFullScan &&
       now_ < next_subset_update_at_) {
-    subset_update_pending_ =
-        true;  // of a large fleet the subset follows in a while; whoever is not up is out at once
+    // With a large membership, the subset is updated later, by a sweep. Servers that are not up are excluded
+    // at once by the index.
+    subset_update_pending_ = true;
     return UpdateServerIndex(*changed);
   }
   const bool was_highly_shared = gateways_per_server_ > kMaxGatewaysWithLimits;
@@ -118,23 +129,28 @@
   servers_up_ += server.is_up;
   if (!server.is_up) down_servers_.insert(info.id);
   if (!(server.info.weight > 0) || !std::isfinite(server.info.weight)) server.info.weight = 1;
-  if (has_restarted)
-    ResetServer(server, info.started_at > 0 ? info.started_at : kDistantPast);  // 0: up for long
+  // started_at == 0: started long ago, so it is warm.
+  if (has_restarted) ResetServer(server, info.started_at > 0 ? info.started_at : kDistantPast);
   ++latency_updates_;
   return server;
 }
 
-// A new process: cold, and nothing known of the old one holds for it.
+// A new process is cold, and nothing that was learned about the old one applies to it.
 void Policy::Impl::ResetServer(TrackedServer& server, Millis since) {
   server.warm_up_started_at = std::max(server.warm_up_started_at, since);
   server.send_credit = Uniform();
   server.send_credit_updated_at = now_;
-  server.latency_ewma = server.slow_latency_ewma = server.baseline_latency = server.failure_rate =
-      server.utilization = server.latency_samples = 0;
+  server.latency_ewma = 0;
+  server.slow_latency_ewma = 0;
+  server.baseline_latency = 0;
+  server.latency_samples = 0;
+  server.failure_rate = 0;
+  server.utilization = 0;
   server.concurrency_limit = server.concurrency_slots = InitialConcurrencyLimit();
   server.send_budget_per_ms = 0;
   server.send_budget_updated_at = now_;
-  server.is_ejected = server.may_have_restarted = false;
+  server.is_ejected = false;
+  server.may_have_restarted = false;
   server.probe_interval = kInitialProbeIntervalMs;
 }
 
--- a/src/module/outliers.cpp
+++ b/src/module/outliers.cpp
@@ -1,27 +1,37 @@
-// Which servers are left out for failing, and how they come back.
+// Outlier detection: ejects servers that fail more than the others, probes them, and uses them again once
+// they have recovered. Also feeds latency samples to the concurrency limits.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr double kMaxLatencyStep = 3;  // times the usual latency, that one late answer counts for
-constexpr double kMaxLatencyStepWithCost =
-    10;  // the same where it is set right by a guess, which may be wrong itself
-constexpr double kMinAimFraction = 0.5;  // part of the aim that an attempt is given at the least, usually
-constexpr double kEjectionFailureRate = 0.3;  // failing share above which a server is suspect
-constexpr double kFleetFailureSmoothingFactor =
-    0.02;  // weight of a new outcome in the failing share of all trusted servers
-constexpr double kRecoveryFailureRate =
-    0.1;  // failing share below which, after trials, a suspect is trusted again
-constexpr double kSevereFailureRate = 0.7;  // the same where too few would be left: these hardly serve at all
-constexpr double kMinAvailableFraction = 0.5;  // part of all servers, by weight, below which too few are left
-constexpr double kFailureRateDeviations = 3;   // standard deviations from that which chance is granted
-constexpr Millis kMaxProbeIntervalMs = 4000;   // ms; longest gap between trials
-constexpr Millis kRestartSilenceMs = 1000;     // ms of silence after which failed connections mean a death
+// A single latency sample counts for at most this multiple of the usual latency.
+constexpr double kMaxLatencyStep = 3;
+// The same with cost estimates, which normalize the samples but may be wrong themselves.
+constexpr double kMaxLatencyStepWithCost = 10;
+// A time-out after less than this fraction of the aim does not count as a failure of the server.
+constexpr double kMinAimFraction = 0.5;
+// Minimum failure rate above which a server is ejected.
+constexpr double kEjectionFailureRate = 0.3;
+// Smoothing factor of the failure rate over all servers that are not ejected.
+constexpr double kFleetFailureSmoothingFactor = 0.02;
+// An ejected server is used again below this failure rate, plus that of the other servers.
+constexpr double kRecoveryFailureRate = 0.1;
+// Replaces both rates where too few other servers are available: only servers that hardly serve at all are
+// ejected.
+constexpr double kSevereFailureRate = 0.7;
+// Too few servers are available when they have less than this fraction of the weight of all servers.
+constexpr double kMinAvailableFraction = 0.5;
+// Standard deviations by which a server's failure rate may exceed that of the other servers by chance.
+constexpr double kFailureRateDeviations = 3;
+// Maximum time between probes.
+constexpr Millis kMaxProbeIntervalMs = 4000;
+// If connections fail after a server has served nothing for this long, it may have restarted.
+constexpr Millis kRestartSilenceMs = 1000;
 
 void Policy::Impl::EjectServer(TrackedServer& server) {
   const bool was_ejected = std::exchange(server.is_ejected, true);
-  server.failure_rate = std::min(server.failure_rate,
-                                 kSevereFailureRate);  // out for longer is no worse: the way back is as short
+  // Capped so that recovery does not take longer after a long ejection.
+  server.failure_rate = std::min(server.failure_rate, kSevereFailureRate);
   server.next_probe_at = now_ + server.probe_interval * (0.75 + 0.5 * Uniform());
   server.probe_interval = TooFewOthersAvailable(server)
                               ? kInitialProbeIntervalMs
@@ -31,11 +41,13 @@
   UpdateSubset(&server);
 }
 
-// Outlier detection: failures that all servers have alike (a network that resets connections, errors of a
-// release) say little of one of them, and leaving servers out for those leaves nowhere to send. So a server
-// is held against what the trusted ones fail: out beyond chance's spread round that, back under it and a
-// little more. It could hurt where nearly all fail and a few do not, by less than the spread. And where half
-// of them are out, the others bear twice their load: then only those that serve next to nothing are left out.
+// Failures that affect all servers alike, such as connection resets in the network or errors of a new
+// release, say little about a single server, and ejecting servers for them leaves no server to send to. So a
+// server's failure rate is compared with that of the servers that are not ejected: it is ejected above their
+// rate plus a tolerance for random variation, and used again below their rate plus a smaller margin.
+// Limitation: where nearly all servers fail, those that fail less by a smaller difference are not preferred.
+// Where half of the servers are ejected, the others get twice their load, so only servers that serve almost
+// nothing are ejected then.
 double Policy::Impl::EjectionThreshold(const TrackedServer& server) const {
   const double deviation = std::sqrt(server_failure_rate_ * (1 - server_failure_rate_) *
                                      kFailureSmoothingFactor / (2 - kFailureSmoothingFactor));
@@ -51,16 +63,16 @@
   return others_weight < kMinAvailableFraction * server_index_.up_weight();
 }
 
-// A request's work over the mean of all: by what the client guesses, else by its class's latency. 1 until
-// something was learned.
+// Based on the client's cost estimate, or else on the latency of the request's class.
 double Policy::Impl::RelativeWork(const ActiveRequest& request) const {
   if (request.estimated_cost > 0) return request.estimated_cost / mean_estimated_cost_;
   const double latency = classes_[request.class_index].latency_ewma;
   return latency > 0 && mean_latency_ > 0 ? latency / mean_latency_ : 1;
 }
 
-// One answer that is many times later than usual was held up on its way, and one in a hundred of these would
-// halve a limit for good. It counts for a step upwards; the next one as late, as in a jam, for all it is.
+// A single response with many times the usual latency was probably delayed by the network; one such sample in
+// a hundred would halve the concurrency limit permanently. It counts for a limited step. A second high sample
+// in a row, as in an overload, counts in full, up to the value of the first.
 double Policy::Impl::ClampLatencyOutlier(TrackedServer& server, double sample) {
   const double previous_sample = std::exchange(server.last_latency_sample, sample);
   const bool has_cost_estimates = mean_estimated_cost_ > 0;
@@ -73,8 +85,8 @@
                            previous_sample));
 }
 
-// A time-out of an attempt that had little of the usual time tells of a client that leaves early, not of the
-// server.
+// A time-out of an attempt with much less than the usual time is caused by the client's short deadline, not
+// by the server.
 bool Policy::Impl::HadTooLittleTime(const ActiveRequest& request, const Outcome& outcome) const {
   const Millis time_given = request.client_deadline - request.attempts[outcome.attempt].sent_at;
   return outcome.result == Result::kTimedOut &&
@@ -84,20 +96,22 @@
 void Policy::Impl::RecordServerOutcome(TrackedServer& server, const ActiveRequest& request,
                                        const Outcome& outcome) {
   const bool is_served = outcome.result == Result::kServed;
-  if (outcome.result == Result::kRejected) {  // full is not ill; its latency shows the crowding
-    // Resting it keeps its quick refusals, which leave it idle, from drawing ever more to it.
+  if (outcome.result == Result::kRejected) {
+    // A full server is not faulty; its load shows in its latency. The backoff keeps its fast rejections,
+    // which leave it with few requests in flight, from attracting more and more requests.
     server.backoff_until = std::max(server.backoff_until, now_ + server.latency_ewma);
     UpdateSendBudget(server, kMaxUtilization);
-    if (server.is_ejected)
-      EjectServer(server);  // but one that hangs fills up: a trial that it turns away has failed
+    // A server that hangs fills up, so a rejected probe has failed.
+    if (server.is_ejected) EjectServer(server);
     return;
   }
-  // A crowded server fails connections too: only one that long served nothing may be a new process.
+  // Overloaded servers fail connections, too. Only one that has served nothing for a while may have
+  // restarted.
   const bool connection_failed = outcome.result == Result::kConnectFailed || outcome.result == Result::kReset;
   if (connection_failed && server.failure_rate >= kFailureSmoothingFactor &&
       now_ - server.last_success_at > kRestartSilenceMs)
     server.may_have_restarted = true;
-  // One slow request among others that were answered meanwhile says nothing about the server.
+  // A time-out while the server answered other requests is caused by the request, not by the server.
   const bool is_slow_request =
       outcome.result == Result::kTimedOut &&
       (server.last_success_at > now_ - outcome.latency || HadTooLittleTime(request, outcome));
@@ -124,15 +138,16 @@
   }
   const double work = RelativeWork(request);
   const double sample = ClampLatencyOutlier(server, outcome.latency / work);
-  // A failure never lowers the latency: fast errors would look like a fast server. And what never came,
-  // though others did, or a connection that broke, took no time of the server's: it was lost on the way.
+  // Failures must not lower the latency: a server with fast errors would look fast. Connection failures, and
+  // time-outs while other requests were answered, are not samples at all: no server time was spent on them.
   if (is_served || (!is_slow_request && !connection_failed && sample > server.latency_ewma))
     UpdateConcurrencyLimit(server, sample,
                            std::min(request.estimated_cost > 0 ? work : 1.0, kMaxRelativeWork), is_served);
-  // A few gateways may have to share a server that takes fewer requests than there are gateways.
+  // With a limit below 1, the server pauses between requests: it can take fewer requests than there are
+  // gateways.
   if (server.concurrency_limit < 1)
     server.backoff_until = now_ + outcome.latency * (1 / server.concurrency_limit - 1);
-  // Drawn anew each time: rounding up would crowd a server by a request for each gateway.
+  // Rounded at random each time: rounding up would overload the server by up to one request per gateway.
   server.concurrency_slots = std::max(1.0, std::floor(server.concurrency_limit + Uniform()));
 }
 
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -1,18 +1,23 @@
-// Which of the ready servers a request goes to: the better of two.
+// Server selection: the better of two ready servers, which are chosen at random ("power of two choices") or,
+// with key affinity, by weighted rendezvous hashing.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr std::size_t kMedianUpdateDivisor =
-    16;  // of the servers one in so many: measurements by which it may lag
-constexpr double kCrossZoneCostFactor =
-    1.3;  // cost of a server in another zone, times its own: crossing is priced
-constexpr double kKindPriorSamples = 2;      // samples that the latency of a server's kind counts for
-constexpr std::size_t kMaxScanLength = 256;  // of more, that are gone through at the most
-constexpr int kMaxDraws = 32;  // draws in vain before that; also trials, and rests that end, at once
-constexpr Millis kMaxCreditWaitMs = 100;  // ms until a cold server's credit is looked at again
+// The median latency is recomputed after this fraction (1/16) of the servers has new latency samples.
+constexpr std::size_t kMedianUpdateDivisor = 16;
+// Cost of a server in another zone relative to one in the gateway's zone.
+constexpr double kCrossZoneCostFactor = 1.3;
+// The mean latency of a server's kind counts as this many samples of the server.
+constexpr double kKindPriorSamples = 2;
+// Random draws of a server that may fail before a linear scan; also the maximum number of probes and of
+// servers with an ended backoff that are considered at once.
+constexpr int kMaxDraws = 32;
+// Maximum number of servers that the linear scan considers.
+constexpr std::size_t kMaxScanLength = 256;
+// Maximum time until the send credit of a server is checked again.
+constexpr Millis kMaxCreditWaitMs = 100;
 
-// Of all latencies. Of many servers it is found anew only after a part of them has been measured again.
 double Policy::Impl::MedianLatency() {
   if (latency_updates_ * kMedianUpdateDivisor < servers_.size() && std::exchange(has_median_, true))
     return median_latency_;
@@ -25,11 +30,12 @@
 }
 
 double Policy::Impl::SelectionCost(const TrackedServer& server) {
-  // A few samples of a server tell little: where many share it they are shrunk toward those of its kind.
+  // Where many gateways share a server, each has few samples of it: these are shrunk towards the mean of its
+  // kind.
   const double prior_samples =
       IsHighlyShared() && server.kind_stats->latency_ewma > 0 ? kKindPriorSamples : 0;
-  const double own_samples = std::min(1.0 * server.latency_samples, 1 / kLatencySmoothingFactor),
-               total_samples = own_samples + prior_samples;
+  const double own_samples = std::min(1.0 * server.latency_samples, 1 / kLatencySmoothingFactor);
+  const double total_samples = own_samples + prior_samples;
   const double latency =
       (own_samples * server.latency_ewma + prior_samples * server.kind_stats->latency_ewma) /
       std::max(1.0, total_samples);
@@ -37,7 +43,8 @@
   return zone_cost * (server.in_flight + 1) * (total_samples > 0 ? latency : std::max(1.0, MedianLatency()));
 }
 
-// Rule 2: a keyed request that may have run stays with the servers that drop its repeats.
+// A keyed request that may have run must stay with the servers that drop its repeats, and within the window
+// in which they do. Other effects are checked before a retry is queued.
 bool Policy::Impl::IsWithinDeduplicationScope(const ActiveRequest& request,
                                               const TrackedServer& server) const {
   const ClassSettings& class_settings = classes_[request.class_index].settings;
@@ -50,16 +57,21 @@
   return class_settings.group == DeduplicationScope::kAll || first_server.cell == server.info.cell;
 }
 
-// Whether it is ready for nobody now. Then it is kept apart until its time, or an event, may change that.
 bool Policy::Impl::DeactivateIfNotReady(TrackedServer& server) {
   if (!IsHighlyShared()) {
-    if (now_ < server.backoff_until)
-      return server_index_.MarkNotReadyUntil(server, server.backoff_until), true;
-    if (server.in_flight >= server.concurrency_slots) return server_index_.MarkNotReady(server), true;
+    if (now_ < server.backoff_until) {
+      server_index_.MarkNotReadyUntil(server, server.backoff_until);
+      return true;
+    }
+    if (server.in_flight >= server.concurrency_slots) {
+      server_index_.MarkNotReady(server);
+      return true;
+    }
   }
   if (RefillSendCredit(server)) return false;
   const Millis wait = (1 - server.send_credit) / std::max(SendBudgetPerMs(server), 1e-9);
-  return server_index_.MarkNotReadyUntil(server, now_ + std::clamp(wait, 1.0, kMaxCreditWaitMs)), true;
+  server_index_.MarkNotReadyUntil(server, now_ + std::clamp(wait, 1.0, kMaxCreditWaitMs));
+  return true;
 }
 
 template <typename Predicate>
@@ -70,28 +82,31 @@
   };
   for (int draws = 0; draws < kMaxDraws && server_index_.ready_count() > 0;) {
     TrackedServer& server = server_index_.ready_server(random_() % server_index_.ready_count());
-    if (DeactivateIfNotReady(server)) continue;  // paid for by what opened it
+    // Not counted as a draw: its cost is bounded by the number of times that servers become ready.
+    if (DeactivateIfNotReady(server)) continue;
     if (matches(server)) return &server;
     ++draws;
   }
-  const std::size_t all = server_index_.ready_count(), first = all > 0 ? random_() % all : 0;
-  for (std::size_t i = 0; i < std::min(all, kMaxScanLength); ++i) {
-    TrackedServer& server = server_index_.ready_server((first + i) % all);
+  // None found at random: scan from a random position.
+  const std::size_t ready = server_index_.ready_count();
+  const std::size_t first = ready > 0 ? random_() % ready : 0;
+  for (std::size_t i = 0; i < std::min(ready, kMaxScanLength); ++i) {
+    TrackedServer& server = server_index_.ready_server((first + i) % ready);
     if (matches(server)) return &server;
   }
   return nullptr;
 }
 
-// The better of two ready servers by (own in-flight + 1) x smoothed latency, or null.
+// Of two candidates, takes the one with the lower (own requests in flight + 1) x latency.
 TrackedServer* Policy::Impl::SelectServer(const ActiveRequest& request) {
-  const bool repeatable =
+  const bool can_probe =
       classes_[request.class_index].settings.effect == Effect::kSafe && request.attempts.empty();
   const TrackedServer* last_server = request.attempts.empty() ? nullptr : request.attempts.back().server;
   const auto is_allowed = [&](const TrackedServer& server) {
     return &server != last_server && IsWithinDeduplicationScope(request, server);
   };
-  // A suspect returns by one trial at a time, with a request that may run again.
-  if (repeatable) {
+  // Ejected servers are probed with requests that may run again, one probe at a time.
+  if (can_probe) {
     const auto matches = [&](TrackedServer& server) {
       return is_allowed(server) && RefillSendCredit(server);
     };
@@ -110,7 +125,7 @@
   candidates_.clear();
   for (std::size_t i = 0; i < server_index_.ready_count();) {
     TrackedServer& server = server_index_.ready_server(i);
-    if (DeactivateIfNotReady(server)) continue;  // another is in its place now
+    if (DeactivateIfNotReady(server)) continue;  // another server has taken position i
     if (is_allowed(server) && CanTakeRequest(server, request.within_quota))
       candidates_.push_back({0, &server});
     ++i;
@@ -118,15 +133,15 @@
   if (candidates_.empty()) return nullptr;
   if (candidates_.size() > 2) {
     if (by_key) {
-      // Weighted rendezvous: lowest first; a server's coming or going moves only its own keys.
+      // Weighted rendezvous hashing, lowest rank first. Adding or removing a server moves only its own keys.
       for (auto& [rank, server] : candidates_)
         rank = -std::log(HashToUnitInterval(request.key_hash ^ server->hash)) / server->info.weight;
       std::partial_sort(candidates_.begin(), candidates_.begin() + 2, candidates_.end(),
                         [](const auto& x, const auto& y) { return x.first < y.first; });
     } else {
-      const std::size_t n = candidates_.size();
-      std::swap(candidates_[0], candidates_[random_() % n]);
-      std::swap(candidates_[1], candidates_[1 + random_() % (n - 1)]);
+      const std::size_t count = candidates_.size();
+      std::swap(candidates_[0], candidates_[random_() % count]);
+      std::swap(candidates_[1], candidates_[1 + random_() % (count - 1)]);
     }
   }
   TrackedServer* const first_choice = candidates_.front().second;
--- a/src/module/policy.cpp
+++ b/src/module/policy.cpp
@@ -1,18 +1,22 @@
-// The decisions of opalswitch, put together. Their interface (settings, events, actions) is
-// include/opalswitch/policy.hpp. Each mechanism is told where it stands, with when it acts.
+// Event dispatch, the periodic sweep and server statuses. The interface (settings, events and actions) is
+// include/opalswitch/policy.hpp; the mechanisms are in the other files of this directory.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr Millis kSweepIntervalMs = 10;  // ms between sweeps: queue expiry
-constexpr double kMaxLatencyWeightRatio =
-    4;  // times by which latency alone raises or lowers a server's share
+// Interval of the periodic sweep.
+constexpr Millis kSweepIntervalMs = 10;
+// Minimum time between log lines.
+constexpr Millis kLogIntervalMs = 200;
+// A server's latency raises or lowers its weight in ServerStatus at most by this factor.
+constexpr double kMaxLatencyWeightRatio = 4;
 
 Policy::Impl::Impl(Settings settings, std::uint64_t seed) {
   settings_ = std::move(settings);
   random_.seed(seed);
   const double worth = ValidateSettings(settings_);
   const auto& report_fields = settings_.load_report_fields;
+  // Multiples of the golden ratio spread the gateways evenly over the ring, whatever their number.
   ring_position_ = settings_.index < 0 ? Uniform() : std::fmod(settings_.index * 0.6180339887498949, 1.0);
   utilization_index_ = std::find(report_fields.begin(), report_fields.end(), "util") - report_fields.begin();
   for (const ClassSettings& class_settings : settings_.classes) {
@@ -31,7 +35,9 @@
   AdvanceClock(now);
   const bool is_first_event = !std::exchange(started_, true);
   std::visit([this](const auto& value) { HandleEvent(value); }, event);
-  if (is_first_event) {  // who knows hosts waits for a turn: many gateways may start together
+  if (is_first_event) {
+    // A gateway that already has a server list delays its first Watch at random: many gateways may start at
+    // the same time.
     if (settings_.requires_watch && servers_up_ > 0) next_watch_at_ = now_ + WatchSpread() * Uniform();
     last_sweep_at_ = now_;
     Sweep();
@@ -39,7 +45,8 @@
   ReleaseQueuedRequests();
 }
 
-// The same preference as shares, for proxies that are told them now and then; it starves nobody either.
+// The weights express the same preference for fast servers as SelectServer. They are clamped because proxies
+// receive them only from time to time, and no server must be starved.
 std::vector<ServerStatus> Policy::Impl::ServerStatuses() const {
   std::vector<double> latencies;
   for (const auto& [id, server] : servers_) {
@@ -72,8 +79,9 @@
   RemoveIfFinished(request);
 }
 
-void Policy::Impl::HandleEvent(
-    const StreamStarted& event) {  // the client owns it now; its outcome is still awaited
+// The response goes to the client already, so the request needs no final answer. Its outcome is still
+// expected.
+void Policy::Impl::HandleEvent(const StreamStarted& event) {
   if (ActiveRequest* const request = FindRequest(event.request)) request->is_answered = true;
 }
 
@@ -90,10 +98,10 @@
   ExpireQueuedRequests();
 }
 
-// A log line, at most a few a second: trouble must not flood the gateway's log.
+// Failures of many servers or requests at once must not flood the gateway's log.
 void Policy::Impl::LogRateLimited(std::string text) {
   if (now_ < next_log_at_) return;
-  next_log_at_ = now_ + 200;
+  next_log_at_ = now_ + kLogIntervalMs;
   EmitAction(Log{std::move(text)});
 }
 
--- a/src/module/queues.cpp
+++ b/src/module/queues.cpp
@@ -1,34 +1,53 @@
-// Requests as they come: sent at once, queued by class, released by Most Credit First, or refused.
+// Admission and queueing. A request is sent at once, queued by class or refused. Queued requests are released
+// by most-credit-first scheduling: the backlogged class with the highest credit goes first.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr Millis kAnswerMarginMs = 20;     // ms before the client leaves: two sweeps, timers may come late
-constexpr double kMinRequestCount = 0.01;  // requests, all fading, below which weights stay as they are
-constexpr double kMinQuotaBurst = 3;   // requests of its share that a tenant may send at once, at the least
-constexpr double kMaxClassCredit = 4;  // MCF credit stays within +-this many requests
-constexpr Millis kTimelyWindowMs = 20000;  // ms over which it is counted how each class fares
-constexpr double kTimelyFractionScale =
-    0.05;  // difference in how two classes fare that shifts e times the weight
-constexpr double kRetriesPerFirstAttempt = 0.2;  // further attempts earned by each first one
-constexpr double kMaxRetryBudget = 20;           // further attempts that may be saved up
-constexpr double kTimeLeftSmoothingFactor =
-    0.05;  // weight of a first try in the time that first tries have left
-constexpr double kFirstTryTimeFraction = 0.95;  // part of the most time left below which it is a further try
-constexpr double kMaxWaitFraction = 0.15;       // part of its time that a request waits for a token at most
-constexpr double kMaxSurplusWaitFraction =
-    0.05;  // the same beyond a share: it holds a client's connection for little
-constexpr double kMaxGatewaysForSurplus = 4;  // gateways sharing a server beyond which nothing there is spare
-constexpr double kMinWithinQuotaFraction =
-    0.9;  // tenants with this part of their first tries in share: so are further tries
-constexpr double kWithinQuotaSmoothingFactor = 0.02;  // weight of a first try in that part
+// A request gets its final answer at least this long before the client gives up: two sweeps, because timers
+// may fire late.
+constexpr Millis kAnswerMarginMs = 20;
+// Class weights are not updated while the decayed number of requests is below this.
+constexpr double kMinRequestCount = 0.01;
+// Lower bound of a tenant's burst, in requests.
+constexpr double kMinQuotaBurst = 3;
+// A class's credit stays within plus or minus this, in requests.
+constexpr double kMaxClassCredit = 4;
+// Time constant of the classes' request counts.
+constexpr Millis kTimelyWindowMs = 20000;
+// A difference of this in two classes' fractions of timely responses changes the ratio of their weights by e.
+constexpr double kTimelyFractionScale = 0.05;
+// Retry budget: retries earned per request, and their maximum.
+constexpr double kRetriesPerFirstAttempt = 0.2;
+constexpr double kMaxRetryBudget = 20;
+// Smoothing factor of the time that requests have left on arrival.
+constexpr double kTimeLeftSmoothingFactor = 0.05;
+// Unmarked requests with less than this fraction of the longest time left count as client retries.
+constexpr double kFirstTryTimeFraction = 0.95;
+// Fraction of its time up to the aim that a request may be queued.
+constexpr double kMaxWaitFraction = 0.15;
+// The same for surplus requests. It is short because a queued request occupies a client connection.
+constexpr double kMaxSurplusWaitFraction = 0.05;
+// Where more gateways than this share a server, surplus requests are refused: no gateway knows of spare
+// capacity.
+constexpr double kMaxGatewaysForSurplus = 4;
+// Client retries count as within quota if this fraction of the tenant's other requests is.
+constexpr double kMinWithinQuotaFraction = 0.9;
+constexpr double kWithinQuotaSmoothingFactor = 0.02;
+// Queue length that is allowed in addition to what can be served within the aim.
+constexpr double kMinQueueLength = 32;
 
-// A class's weight is what a token is worth there: to the whole by its requests' own worth, and to the class
-// that fares worst as far as that counts. By how many there are of each: alike weights leave alike shares.
+// A class's weight is the value of a token spent on it, by the two terms of service quality (see Settings):
+// the worth of its requests, and the lag of classes that get few timely responses. It is proportional to the
+// number of requests, so that otherwise equal classes get the same fraction of their requests answered.
 void Policy::Impl::UpdateClassWeights(Millis elapsed) {
   if (settings_.worst_class_weight <= 0) return;
   const double decay = std::exp(-elapsed / kTimelyWindowMs);
-  double worst_timely_fraction = 1, total_requests = 0, total_worth = 0, total_lag = 0, sum = 0;
+  double worst_timely_fraction = 1;
+  double total_requests = 0;
+  double total_worth = 0;
+  double total_lag = 0;
+  double sum = 0;
   for (ClassState& class_state : classes_) {
     class_state.request_count *= decay;
     class_state.timely_count *= decay;
@@ -37,8 +56,8 @@
     if (class_state.request_count > 1)
       worst_timely_fraction = std::min(worst_timely_fraction, class_state.TimelyFraction());
   }
-  if (!(total_requests > kMinRequestCount && total_worth > 0))
-    return;  // nothing lately: sums would fade into noise
+  // Without recent requests the decayed sums are dominated by rounding errors.
+  if (!(total_requests > kMinRequestCount && total_worth > 0)) return;
   const auto lag = [&](const ClassState& class_state) {
     return std::exp((worst_timely_fraction - class_state.TimelyFraction()) / kTimelyFractionScale);
   };
@@ -52,12 +71,12 @@
   for (ClassState& class_state : classes_) class_state.weight /= sum;
 }
 
-// A share is of what is asked for once. Further tries take nothing of it: a tenant within its share that
-// was refused would seem to be beyond it, and be refused the more.
+// Client retries take no quota. Otherwise the retries of a tenant within its quota, after refusals for other
+// reasons, would push it beyond the quota and cause further refusals.
 bool Policy::Impl::TakeTenantQuota(const std::string& tenant, bool is_client_retry) {
   if (tenants_.empty()) return true;
   const auto found = tenants_.find(tenant);
-  if (found == tenants_.end()) return false;  // an unknown tenant has no share
+  if (found == tenants_.end()) return false;  // an unknown tenant has no quota
   TenantState& state = found->second;
   if (state.quota_per_ms <= 0) return true;
   if (is_client_retry) return state.within_quota_fraction >= kMinWithinQuotaFraction;
@@ -74,8 +93,7 @@
 void Policy::Impl::HandleEvent(const Request& event) {
   const auto found = class_indices_.find(event.class_name);
   if (requests_.contains(event.id)) return;
-  if (found == class_indices_.end())
-    return EmitAction(Refuse{event.id, 0, Cause::kUnknownClass});  // no such class: never sent
+  if (found == class_indices_.end()) return EmitAction(Refuse{event.id, 0, Cause::kUnknownClass});
   ActiveRequest& request = requests_[event.id];
   ClassState& class_state = classes_[found->second];
   request.id = event.id;
@@ -89,9 +107,10 @@
   class_state.request_count += 1;
   const Millis time_left = std::isfinite(event.time_left) ? std::max(0.0, event.time_left) : 0.0;
   request.client_deadline = now_ + time_left;
-  // A further try has less time left than a first one. If its aim is long past, it is worth as little as what
-  // is beyond a share: a jam would feed on late answers. Where clients mark further tries, what first tries
-  // have left is their mean: a single client with more time than is usual must not make all others look late.
+  // A client retry has less time left than a first try. If the aim, counted from the first try, has passed,
+  // it is treated as surplus: late responses would use up capacity and prolong an overload. Where clients
+  // mark retries, the time that first tries have left is a mean instead of the maximum, so that a single
+  // client with an unusually long deadline does not make all others look late.
   if (!settings_.clients_mark_retries) {
     class_state.first_try_time_left = std::max(class_state.first_try_time_left, time_left);
   } else if (!event.retry) {
@@ -108,21 +127,22 @@
   request.within_quota = !is_late && TakeTenantQuota(event.tenant, event.retry);
   retry_budget_ = std::min(retry_budget_ + kRetriesPerFirstAttempt, kMaxRetryBudget);
   if ((is_late && class_state.settings.late_worth <= 0) || time_left <= 0)
-    return SendFinalAnswer(request, Cause::kInsufficientTime);  // worth nothing
+    return SendFinalAnswer(request, Cause::kInsufficientTime);  // a response would have no worth
   if (!request.within_quota && gateways_per_server_ > kMaxGatewaysForSurplus)
     return SendFinalAnswer(request, Cause::kOverQuota);
   if (queued_requests_ == 0 && tokens_ > 0 && HasFreeConnection()) {
     if (TrackedServer* server = SelectServer(request)) return SendAttempt(request, *server);
   }
+  // Once queued, it might not be answered by a sweep before the client gives up.
   if (now_ >= request.client_deadline - kAnswerMarginMs)
-    return SendFinalAnswer(request, Cause::kInsufficientTime);  // no sweep may come in time
+    return SendFinalAnswer(request, Cause::kInsufficientTime);
   EnqueueOrRefuse(request);
 }
 
 void Policy::Impl::EnqueueOrRefuse(ActiveRequest& request) {
   ClassState& class_state = classes_[request.class_index];
-  const double max_queued =
-      spent_rate_ * class_state.settings.aim / 1000 + 32;  // more can't be served in time
+  // More requests could not be served within the aim.
+  const double max_queued = spent_rate_ * class_state.settings.aim / 1000 + kMinQueueLength;
   if (static_cast<double>(class_state.QueuedRequests()) >= max_queued) {
     if (!request.within_quota || class_state.surplus_queue.empty())
       return SendFinalAnswer(request, Cause::kQueueFull);
@@ -133,15 +153,16 @@
   AddToQueue(request, request.within_quota ? class_state.within_quota_queue : class_state.surplus_queue);
 }
 
-// A token must come soon: what waits longer is sent with too little time left, fails, and has the rate cut
-// again. And the answer must come before the client leaves.
+// Queueing time is limited to a small fraction of the aim: requests that are sent later have too little time
+// left, time out and cause further rate decreases. The answer must also be sent before the client gives up.
 Millis Policy::Impl::QueueDeadline(const ActiveRequest& request) const {
   const double wait_fraction = request.within_quota ? kMaxWaitFraction : kMaxSurplusWaitFraction;
   return std::min(request.arrived_at + wait_fraction * (request.aim_deadline - request.arrived_at),
                   request.client_deadline - kAnswerMarginMs);
 }
 
-// All, not the heads alone: one with less time than those before it must not run out of it behind them.
+// Checks all queued requests, not only the first of each queue: a request may expire before those ahead of
+// it.
 void Policy::Impl::ExpireQueuedRequests() {
   expired_requests_.clear();
   for (ClassState& class_state : classes_) {
@@ -162,9 +183,9 @@
   }
 }
 
-// Spends tokens on the queues: each token goes to the backlogged class with the most credit.
+// Most-credit-first scheduling: each token goes to the backlogged class with the highest credit.
 void Policy::Impl::ReleaseQueuedRequests() {
-  std::uint64_t blocked_classes = 0;  // classes whose head no server can take now
+  std::uint64_t blocked_classes = 0;  // bit set of classes whose first request no server can take now
   while (queued_requests_ > 0 && tokens_ > 0 && HasFreeConnection()) {
     ClassState* best = nullptr;
     for (ClassState& class_state : classes_) {
@@ -180,7 +201,7 @@
       blocked_classes |= std::uint64_t{1} << (best - classes_.data());
       continue;
     }
-    // Where all backlogged classes are in debt the least indebted goes: a token never idles.
+    // Also with negative credit the class with the highest credit goes, so that no token stays unused.
     for (ClassState& class_state : classes_)
       class_state.credit = std::min(
           kMaxClassCredit, class_state.credit + (class_state.QueuedRequests() > 0 ? class_state.weight : 0));
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -1,4 +1,4 @@
-// The check of a Policy's settings: what can't work is said at once, by the field's name.
+// Validation of a Policy's settings, and the names of causes.
 #include <cmath>
 #include <stdexcept>
 
@@ -7,12 +7,12 @@
 namespace opalswitch {
 namespace {
 
-void Check(bool good, const char* what) {
-  if (!good) throw std::invalid_argument(what);
+void Check(bool is_valid, const char* error) {
+  if (!is_valid) throw std::invalid_argument(error);
 }
 
-bool NotNegative(double value) { return std::isfinite(value) && value >= 0; }
-bool Positive(double value) { return std::isfinite(value) && value > 0; }
+bool IsNonNegative(double value) { return std::isfinite(value) && value >= 0; }
+bool IsPositive(double value) { return std::isfinite(value) && value > 0; }
 
 }  // namespace
 
@@ -36,30 +36,30 @@
 }
 
 double ValidateSettings(const Settings& settings) {
-  Check(!settings.classes.empty(), "classes: there is none");
-  Check(settings.classes.size() <= 64, "classes: more than 64");
+  Check(!settings.classes.empty(), "classes: must not be empty");
+  Check(settings.classes.size() <= 64, "classes: must have at most 64 entries");
   Check(settings.gateways >= 1, "gateways: must be at least 1");
   Check(settings.max_attempts >= 1, "max_attempts: must be at least 1");
-  Check(Positive(settings.cold_capacity_fraction) && settings.cold_capacity_fraction <= 1,
+  Check(IsPositive(settings.cold_capacity_fraction) && settings.cold_capacity_fraction <= 1,
         "cold_capacity_fraction: must be in (0, 1]");
-  Check(NotNegative(settings.warm_up_time), "warm_up_time: must not be negative");
-  Check(Positive(settings.overload_multiple), "overload_multiple: must be above 0");
+  Check(IsNonNegative(settings.warm_up_time), "warm_up_time: must not be negative");
+  Check(IsPositive(settings.overload_multiple), "overload_multiple: must be above 0");
   Check(settings.streams_per_connection >= 1, "streams_per_connection: must be at least 1");
-  Check(Positive(settings.max_watch_interval), "max_watch_interval: must be above 0");
-  Check(NotNegative(settings.total_worth_weight), "total_worth_weight: must not be negative");
-  Check(NotNegative(settings.worst_class_weight), "worst_class_weight: must not be negative");
-  Check(NotNegative(settings.max_retry_after), "max_retry_after: must not be negative");
+  Check(IsPositive(settings.max_watch_interval), "max_watch_interval: must be above 0");
+  Check(IsNonNegative(settings.total_worth_weight), "total_worth_weight: must not be negative");
+  Check(IsNonNegative(settings.worst_class_weight), "worst_class_weight: must not be negative");
+  Check(IsNonNegative(settings.max_retry_after), "max_retry_after: must not be negative");
   double worth = 0;
   for (const ClassSettings& class_settings : settings.classes) {
-    Check(Positive(class_settings.deadline), "classes.deadline: must be above 0");
-    Check(Positive(class_settings.aim), "classes.aim: must be above 0");
-    Check(NotNegative(class_settings.worth), "classes.worth: must not be negative");
-    Check(NotNegative(class_settings.late_worth), "classes.late_worth: must not be negative");
-    Check(NotNegative(class_settings.repeat_window), "classes.repeat_window: must not be negative");
+    Check(IsPositive(class_settings.deadline), "classes.deadline: must be above 0");
+    Check(IsPositive(class_settings.aim), "classes.aim: must be above 0");
+    Check(IsNonNegative(class_settings.worth), "classes.worth: must not be negative");
+    Check(IsNonNegative(class_settings.late_worth), "classes.late_worth: must not be negative");
+    Check(IsNonNegative(class_settings.repeat_window), "classes.repeat_window: must not be negative");
     worth += class_settings.worth;
   }
   for (const TenantSettings& tenant : settings.tenants) {
-    Check(NotNegative(tenant.quota_per_s), "tenants.quota_per_s: must not be negative");
+    Check(IsNonNegative(tenant.quota_per_s), "tenants.quota_per_s: must not be negative");
   }
   return worth;
 }
--- a/src/module/warm_up.cpp
+++ b/src/module/warm_up.cpp
@@ -1,24 +1,30 @@
-// What each server may be sent a second: one that has just started (rule 4), and any that many share.
+// Send budgets: the request rate to servers that are warming up, and to all servers where many gateways share
+// them.
 #include "module/impl.hpp"
 
 namespace opalswitch {
 
-constexpr Millis kReferencePriorMs =
-    500;  // ms of each server's time that a first few answers are spread over
-constexpr double kMaxColdLoadFraction =
-    0.7;                                   // part of that multiple that a cold server is never sent more than
-constexpr double kFreeUtilization = 0.35;  // utilisation left free, over the root of the size
-constexpr double kInitialBudgetFraction =
-    0.6;  // part of a server's part of the rate that it is sent at the start
-constexpr Millis kBudgetGrowthTimeMs =
-    500;  // ms in which a server that reports itself idle is allowed e times
-constexpr Millis kBudgetShrinkTimeMs = 300;  // the same for one that is busy by as much too much
-constexpr Millis kMaxReportGapMs = 1000;     // ms that one report speaks for at the most
-constexpr double kMinSendBudgetPerMs =
-    0.0005;  // requests per ms over all gateways, that is sent at the least
-constexpr Millis kReferenceHoldTimeMs = 60000;  // ms for which the reference is held while less is answered
+// Added to the observed time of each server in the reference rate, so that the first few responses do not
+// give a high rate.
+constexpr Millis kReferencePriorMs = 500;
+// A cold server is never sent more than this fraction of the load that makes it fail, whatever it reports.
+constexpr double kMaxColdLoadFraction = 0.7;
+// Target for the unused utilization of a server, divided by the square root of its weight.
+constexpr double kFreeUtilization = 0.35;
+// Without reports, the send budget is this fraction of the server's part of the refill rate.
+constexpr double kInitialBudgetFraction = 0.6;
+// Time in which the send budget of a server with zero utilization would grow by a factor of e.
+constexpr Millis kBudgetGrowthTimeMs = 500;
+// The same for decreases, which are proportional to the utilization beyond the target.
+constexpr Millis kBudgetShrinkTimeMs = 300;
+// A report is applied to at most this time since the last one.
+constexpr Millis kMaxReportGapMs = 1000;
+// Lower bound of the send budget of a server over all gateways.
+constexpr double kMinSendBudgetPerMs = 0.0005;
+// Time constant with which the reference rate falls while there are fewer responses.
+constexpr Millis kReferenceHoldTimeMs = 60000;
 
-// The share of its capacity that a started server surely has by now.
+// A lower bound: the fraction that the server is certain to have by now.
 double Policy::Impl::CapacityFraction(const TrackedServer& server) const {
   const Millis age = now_ - server.warm_up_started_at;
   if (age >= settings_.warm_up_time) return 1;
@@ -26,17 +32,17 @@
          (1 - settings_.cold_capacity_fraction) * std::max(0.0, age) / settings_.warm_up_time;
 }
 
-// What this gateway may send it, per ms. The reference is over all servers: those few that use one share it.
+// The reference rate is per server of the whole membership, but a server's load is shared only by the
+// gateways that have it in their subset.
 double Policy::Impl::ColdServerRatePerMs(const TrackedServer& server) const {
   const double gateways_ratio = settings_.gateways / gateways_per_server_;
   return kColdLoadFraction * settings_.overload_multiple * CapacityFraction(server) * server.info.weight *
          reference_rate_per_ms_ * gateways_ratio;
 }
 
-// Requests per ms that this gateway may send one that is budgeted.
 double Policy::Impl::SendBudgetPerMs(const TrackedServer& server) const {
-  const bool is_warm = CapacityFraction(server) >= 1,
-             has_reported_budget = UsesReportedBudget() && server.send_budget_per_ms > 0;
+  const bool is_warm = CapacityFraction(server) >= 1;
+  const bool has_reported_budget = UsesReportedBudget() && server.send_budget_per_ms > 0;
   const double relative_size = server.info.weight * settings_.gateways / gateways_per_server_;
   if (is_warm)
     return has_reported_budget
@@ -48,16 +54,15 @@
              : cold_rate;
 }
 
-// What many send it together only the server can tell. `busy`: its utilisation, reported, or as an outcome
-// has it.
+// Only the server knows the load that all gateways together cause.
 void Policy::Impl::UpdateSendBudget(TrackedServer& server, double utilization) {
   if (!UsesReportedBudget()) return;
   const double previous_budget = SendBudgetPerMs(server);
   const Millis elapsed = std::min(kMaxReportGapMs, now_ - std::exchange(server.send_budget_updated_at, now_));
   const double spare_utilization =
       1 - kFreeUtilization / std::sqrt(std::max(1.0, server.info.weight)) - utilization;
-  const bool used_budget =
-      server.send_credit < 1;  // what was not used up shows nothing of what more would do
+  // An unused budget is no evidence for a higher one.
+  const bool used_budget = server.send_credit < 1;
   const double log_change = spare_utilization < 0 ? spare_utilization * elapsed / kBudgetShrinkTimeMs
                             : used_budget         ? spare_utilization * elapsed / kBudgetGrowthTimeMs
                                                   : 0;
@@ -65,8 +70,8 @@
       std::max(kMinSendBudgetPerMs / gateways_per_server_, previous_budget * std::exp(log_change));
 }
 
-// Rule 4: a cold server earns credit by what warm ones answer here. It starts with a chance part of a
-// request: one request each from hundreds of gateways at once would push it over.
+// A cold server earns credit in proportion to the responses of warm servers. ResetServer starts it with a
+// random fraction of a request: one request from each of hundreds of gateways at once would overload it.
 bool Policy::Impl::RefillSendCredit(TrackedServer& server) {
   if (!HasSendBudget(server)) return true;
   const double max_credit = CapacityFraction(server) < 1 ? 1 : 2;
@@ -76,11 +81,12 @@
   return server.send_credit >= 1;
 }
 
-// What a warm server of size 1 answers to this gateway, per ms: answers, not sends, for in a jam more is
-// sent than any server can do. Where none was warm yet: its part of what arrives.
+// Responses per ms to this gateway from a warm server of weight 1. Responses are counted instead of attempts,
+// because in an overload more is sent than servers can handle. If no server has been warm yet, arrivals are
+// used.
 void Policy::Impl::UpdateReferenceRate(Millis elapsed) {
-  const double decay = std::exp(-elapsed / kLongRateWindowMs),
-               available_weight = server_index_.available_weight();
+  const double decay = std::exp(-elapsed / kLongRateWindowMs);
+  const double available_weight = server_index_.available_weight();
   server_index_.CountWarmedUpServers(now_);
   warm_weight_ms_ = warm_weight_ms_ * decay + elapsed * server_index_.warm_weight();
   warm_responses_ *= decay;
--- a/src/simhost_main.cpp
+++ b/src/simhost_main.cpp
@@ -1,4 +1,5 @@
-// opalswitch_simhost: hosts Policies on the simulator's wire, standard input to standard output.
+// opalswitch_simhost: runs Policy instances for the simulator. Reads the simulator's line protocol (wire.hpp)
+// from standard input and writes replies to standard output. Exits with 1 on invalid input or an I/O error.
 #include <unistd.h>
 
 #include <cerrno>
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -11,6 +11,7 @@
 
 using Fields = std::vector<std::string_view>;
 
+// Splits `text` at each `separator` and replaces the contents of `fields`.
 void SplitInto(std::string_view text, char separator, Fields& fields) {
   fields.clear();
   for (;;) {
@@ -21,24 +22,26 @@
   }
 }
 
+// Throws WireError, naming `what`, unless all of `text` is a finite number.
 template <typename T>
 T ParseNumber(std::string_view text, const char* what) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  bool good = error == std::errc() && end == text.data() + text.size();
-  if constexpr (std::is_floating_point_v<T>) good = good && std::isfinite(value);
-  if (!good) throw WireError(std::string(what) + " is not a number: '" + std::string(text) + "'");
+  bool is_valid = error == std::errc() && end == text.data() + text.size();
+  if constexpr (std::is_floating_point_v<T>) is_valid = is_valid && std::isfinite(value);
+  if (!is_valid) throw WireError(std::string(what) + " is not a number: '" + std::string(text) + "'");
   return value;
 }
 
-// The value at `i`, or empty where it is absent ("-") or left off the end of the line.
+// Returns field `i`, or an empty string if it is absent: "-", or beyond the end of the line.
 std::string_view OptionalField(const Fields& fields, std::size_t i) {
   return i < fields.size() && fields[i] != "-" ? fields[i] : std::string_view();
 }
 
+// Throws WireError, naming `what`, if the field is absent.
 std::string_view RequiredField(const Fields& fields, std::size_t i, const char* what) {
   const std::string_view text = OptionalField(fields, i);
-  if (text.empty()) throw WireError(std::string(fields[0]) + " lacks its " + what);
+  if (text.empty()) throw WireError(std::string(fields[0]) + ": field missing: " + what);
   return text;
 }
 
@@ -51,7 +54,7 @@
 bool ParseFlag(std::string_view text, const char* what) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
-  throw WireError(std::string(what) + " is not a flag: '" + std::string(text) + "'");
+  throw WireError(std::string(what) + " is not a boolean: '" + std::string(text) + "'");
 }
 
 Result ParseResult(std::string_view code) {
@@ -105,98 +108,102 @@
   out.append(buffer, end.ptr);
 }
 
-// A class or tenant list arrives as "categories.2.sloMs": grows the list as its items come.
+// Returns the item of a class or tenant list that a key like "categories.2.sloMs" refers to. Extends the list
+// if necessary.
 template <typename T>
 T* ListItem(std::vector<T>& items, std::string_view index) {
-  constexpr std::size_t kMaxItems = 10000;  // a wild index must not eat the memory
+  constexpr std::size_t kMaxItems = 10000;  // bounds the memory that an invalid index allocates
   const auto i = ParseNumber<std::size_t>(index, "list index");
-  if (i >= kMaxItems) throw WireError("list index too large: " + std::string(index));
+  if (i >= kMaxItems)
+    throw WireError("list index " + std::string(index) + " is above " + std::to_string(kMaxItems - 1));
   if (i >= items.size()) items.resize(i + 1);
   return &items[i];
 }
 
-void ParseClass(ClassSettings& c, std::string_view field, std::string_view value) {
+void ParseClass(ClassSettings& class_settings, std::string_view field, std::string_view value) {
   if (field == "name") {
-    c.name = value;
+    class_settings.name = value;
   } else if (field == "sloMs") {
-    c.aim = ParseNumber<double>(value, "sloMs");
+    class_settings.aim = ParseNumber<double>(value, "sloMs");
   } else if (field == "deadlineMs") {
-    c.deadline = ParseNumber<double>(value, "deadlineMs");
+    class_settings.deadline = ParseNumber<double>(value, "deadlineMs");
   } else if (field == "importance") {
-    c.worth = ParseNumber<double>(value, "importance");
+    class_settings.worth = ParseNumber<double>(value, "importance");
   } else if (field == "lateWorth") {
-    c.late_worth = ParseNumber<double>(value, "lateWorth");
+    class_settings.late_worth = ParseNumber<double>(value, "lateWorth");
   } else if (field == "repeatWindowMs") {
-    c.repeat_window = ParseNumber<double>(value, "repeatWindowMs");
+    class_settings.repeat_window = ParseNumber<double>(value, "repeatWindowMs");
   } else if (field == "idempotency") {
     if (value != "pure" && value != "token" && value != "side_effect") {
       throw std::invalid_argument("classes.effect: unknown '" + std::string(value) + "'");
     }
-    c.effect = value == "pure" ? Effect::kSafe : value == "token" ? Effect::kKeyed : Effect::kUnsafe;
+    class_settings.effect = value == "pure"    ? Effect::kSafe
+                            : value == "token" ? Effect::kKeyed
+                                               : Effect::kUnsafe;
   } else if (field == "group") {
     if (value != "all" && value != "zone" && value != "cell") {
       throw std::invalid_argument("classes.group: unknown '" + std::string(value) + "'");
     }
-    c.group = value == "all"    ? DeduplicationScope::kAll
-              : value == "zone" ? DeduplicationScope::kZone
-                                : DeduplicationScope::kCell;
+    class_settings.group = value == "all"    ? DeduplicationScope::kAll
+                           : value == "zone" ? DeduplicationScope::kZone
+                                             : DeduplicationScope::kCell;
   }
 }
 
-void ParseTenant(TenantSettings& t, std::string_view field, std::string_view value) {
+void ParseTenant(TenantSettings& tenant, std::string_view field, std::string_view value) {
   if (field == "name") {
-    t.name = value;
+    tenant.name = value;
   } else if (field == "quotaPerS") {
-    t.quota_per_s = ParseNumber<double>(value, "quotaPerS");
+    tenant.quota_per_s = ParseNumber<double>(value, "quotaPerS");
   }
 }
 
-void ParseSetting(Settings& s, const Fields& path, std::string_view key, std::string_view value) {
+void ParseSetting(Settings& settings, const Fields& path, std::string_view key, std::string_view value) {
   const auto number = [&] { return ParseNumber<double>(value, std::string(key).c_str()); };
   const auto flag = [&] { return ParseFlag(value, std::string(key).c_str()); };
   if (path.size() == 3 && path[0] == "categories") {
-    ParseClass(*ListItem(s.classes, path[1]), path[2], value);
+    ParseClass(*ListItem(settings.classes, path[1]), path[2], value);
   } else if (path.size() == 3 && path[0] == "projects") {
-    ParseTenant(*ListItem(s.tenants, path[1]), path[2], value);
+    ParseTenant(*ListItem(settings.tenants, path[1]), path[2], value);
   } else if (key == "zone") {
-    s.zone = value;
+    settings.zone = value;
   } else if (key == "peersTotal") {
-    s.gateways = static_cast<int>(number());
+    settings.gateways = static_cast<int>(number());
   } else if (key == "selfIndex") {
-    s.index = static_cast<int>(number());
+    settings.index = static_cast<int>(number());
   } else if (key == "membershipMode") {
-    s.requires_watch = value == "ask";
+    settings.requires_watch = value == "ask";
   } else if (key == "limits.maxAttempts") {
-    s.max_attempts = static_cast<int>(number());
+    settings.max_attempts = static_cast<int>(number());
   } else if (key == "limits.multiplex") {
-    s.streams_per_connection = static_cast<int>(number());
+    settings.streams_per_connection = static_cast<int>(number());
   } else if (key == "limits.cancelling") {
-    s.can_cancel = flag();
+    settings.can_cancel = flag();
   } else if (key == "clientHabits.marksRetry") {
-    s.clients_mark_retries = flag();
+    settings.clients_mark_retries = flag();
   } else if (key == "limits.retryAfter") {
-    s.sends_retry_after = flag();
+    settings.sends_retry_after = flag();
   } else if (key == "limits.maxRetryAfterMs") {
-    s.max_retry_after = number();
+    settings.max_retry_after = number();
   } else if (key == "rules.askWithinMs") {
-    s.max_watch_interval = number();
+    settings.max_watch_interval = number();
   } else if (key == "rules.coldFrom") {
-    s.cold_capacity_fraction = number();
+    settings.cold_capacity_fraction = number();
   } else if (key == "rules.coldMs") {
-    s.warm_up_time = number();
+    settings.warm_up_time = number();
   } else if (key == "rules.fallMultiple") {
-    s.overload_multiple = number();
+    settings.overload_multiple = number();
   } else if (key == "scoreParts.whole") {
-    s.total_worth_weight = number();
+    settings.total_worth_weight = number();
   } else if (key == "scoreParts.worstClass") {
-    s.worst_class_weight = number();
+    settings.worst_class_weight = number();
   } else if (key == "familyInfo.warmKeys") {
-    s.has_key_affinity = flag();
+    settings.has_key_affinity = flag();
   } else if (key == "report.fields") {
     Fields names;
     SplitInto(value, ',', names);
     for (const auto field : names) {
-      if (!field.empty() && field != "-") s.load_report_fields.emplace_back(field);
+      if (!field.empty() && field != "-") settings.load_report_fields.emplace_back(field);
     }
   }
 }
@@ -319,14 +326,15 @@
     DeliverEvent(StreamStarted{std::string(RequiredField(fields, 1, "ticket")),
                                ParseNumber<int>(RequiredField(fields, 3, "trial"), "trial")});
   } else if (keyword == "ECHO") {
-    ParseResult(RequiredField(fields, 2, "rc"));  // the module never probes: checked and dropped
+    // The module sends no such probes: validated and ignored.
+    ParseResult(RequiredField(fields, 2, "rc"));
     ParseNumberOr(fields, 3, "costTimeMs", 0.0);
     ParseLoadReport(OptionalField(fields, 4));
   } else if (keyword == "CRASH_NOW") {
     policies_.erase(*target_instance_);
   } else if (keyword == "MESSAGE") {
-    ParseNumber<std::int64_t>(RequiredField(fields, 1, "by"),
-                              "by");  // gateways share nothing: checked and dropped
+    // Gateways do not communicate: validated and ignored.
+    ParseNumber<std::int64_t>(RequiredField(fields, 1, "by"), "by");
   } else {
     throw WireError("unknown message '" + std::string(keyword) + "'");
   }
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -1,4 +1,5 @@
-// The quartz-d56c dialect: text lines to opalswitch events, actions to text lines. No decisions.
+// Adapter between Policy and the simulator's line protocol (dialect quartz-d56c): parses lines into events
+// and formats actions as lines.
 #ifndef OPALSWITCH_WIRE_HPP_
 #define OPALSWITCH_WIRE_HPP_
 
@@ -14,26 +15,28 @@
 
 namespace opalswitch::wire {
 
-// A line that breaks the dialect; the text names the fault.
+// A line violates the protocol. The message names the invalid field or keyword.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The values of a CREATE line's settings. Unknown keys are skipped; missing ones keep defaults.
+// Parses the "key=value" pairs of a CREATE line. Ignores unknown keys; missing ones keep their defaults.
+// Throws WireError or std::invalid_argument if a value is invalid.
 Settings ParseSettings(const std::vector<std::string_view>& pairs);
 
-// Hosts the instances of one process. Feed it line after line; after EOF_BATCH it has a reply.
-// The instances share the process and the numbered lists of the wire, and nothing else.
+// Runs any number of Policy instances for the simulator. It consumes the input line by line and produces a
+// reply at the end of each batch. The instances share only the protocol's numbered server lists.
 class SimulatorAdapter {
  public:
-  // Consumes one line, without its newline. Throws WireError on a malformed one.
+  // Consumes one line, without its newline. Throws WireError if it is malformed.
   void HandleLine(std::string_view line);
 
-  // After EOF_BATCH: the reply to be written and flushed. Empty while a batch is incomplete.
+  // Returns the reply of a completed batch once, to be written and flushed; empty while a batch is
+  // incomplete.
   std::string TakeReply();
 
-  // Whether a batch has begun that EOF_BATCH has not ended yet.
+  // Whether a batch has started (TURN) and has not ended yet (EOF_BATCH).
   bool IsInBatch() const { return in_batch_; }
 
  private:
@@ -42,18 +45,18 @@
   void DeliverEvent(const opalswitch::Event& event);
   void AppendAction(const Action& action);
 
-  double now_ = 0;
+  double now_ = 0;  // clock of the current batch
   bool in_batch_ = false;
-  std::optional<std::int64_t> target_instance_;  // the instance that events are addressed to
+  std::optional<std::int64_t> target_instance_;  // instance that receives the following events
   std::map<std::int64_t, Policy> policies_;
   std::vector<std::vector<Server>> lists_ = std::vector<std::vector<Server>>(16);
-  std::size_t current_list_ = 0;
-  std::size_t entries_remaining_ = 0;           // ENTRY lines still to come for the open list
-  std::optional<std::int64_t> reply_instance_;  // the instance the reply's actions are addressed to
-  std::vector<Action> actions_;
-  std::vector<std::string_view> fields_;
-  std::string batch_reply_;
-  std::string reply_;
+  std::size_t current_list_ = 0;                // list that ENTRY lines are added to
+  std::size_t entries_remaining_ = 0;           // ENTRY lines that the current list still needs
+  std::optional<std::int64_t> reply_instance_;  // instance of the last CONTEXT line in the reply
+  std::vector<Action> actions_;                 // buffer
+  std::vector<std::string_view> fields_;        // fields of the current line
+  std::string batch_reply_;                     // reply of the current batch
+  std::string reply_;                           // reply of the last completed batch
 };
 
 }  // namespace opalswitch::wire
