--- a/tests/gateway.hpp
+++ b/tests/gateway.hpp
@@ -1,4 +1,5 @@
-// A gateway for tests: hands events to a Policy, keeps the clock and sorts what comes back.
+// A gateway stand-in for unit tests of Policy: keeps a simulated clock, reports events and records the
+// requests sent.
 #ifndef OPALSWITCH_TESTS_GATEWAY_HPP_
 #define OPALSWITCH_TESTS_GATEWAY_HPP_
 
@@ -47,34 +48,36 @@
   explicit FakeGateway(Settings settings = MakeSettings(), std::uint64_t seed = 1)
       : policy(std::move(settings), seed) {}
 
+  // Reports an event at the current time. Returns the actions and appends sent requests to `sent`.
   std::vector<Action> HandleEvent(const Event& event) {
     std::vector<Action> actions;
     policy.Handle(now, event, actions);
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) sent.push_back(*send);
+    for (const Action& action : actions) {
+      if (const auto* send = std::get_if<Send>(&action)) sent.push_back(*send);
     }
     return actions;
   }
 
+  // Reports a full server list.
   void SetServers(std::vector<Server> servers) {
     HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(servers)});
   }
 
-  // Brings `n` servers named s0, s1 ... that have been up for long.
+  // Reports a list of `n` warm servers: s0, s1 ...
   void SetServerCount(int n) {
     std::vector<Server> servers;
     for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
     SetServers(servers);
   }
 
-  std::vector<Action> SendRequest(std::string id, std::string cls = "view", Millis left = 2000,
+  std::vector<Action> SendRequest(std::string id, std::string class_name = "view", Millis time_left = 2000,
                                   std::string tenant = "") {
-    Request r;
-    r.id = std::move(id);
-    r.class_name = std::move(cls);
-    r.tenant = std::move(tenant);
-    r.time_left = left;
-    return HandleEvent(r);
+    Request request;
+    request.id = std::move(id);
+    request.class_name = std::move(class_name);
+    request.tenant = std::move(tenant);
+    request.time_left = time_left;
+    return HandleEvent(request);
   }
 
   std::vector<Action> FinishAttempt(const std::string& id, const std::string& server, Result result,
@@ -82,30 +85,34 @@
     return HandleEvent(Outcome{id, attempt, server, result, result == Result::kServed, latency, {}});
   }
 
-  std::vector<Action> AdvanceTime(Millis ms) {  // lets time go by, sweeping as the timer would
+  // Advances the clock by `ms`, with a sweep every 10 ms as the timer would. Returns the actions of the
+  // sweeps.
+  std::vector<Action> AdvanceTime(Millis ms) {
     std::vector<Action> all;
     for (const Millis until = now + ms; now < until;) {
       now = std::min(until, now + 10);
-      for (auto& a : HandleEvent(TimerDue{"sweep"})) all.push_back(a);
+      for (auto& action : HandleEvent(TimerDue{"sweep"})) all.push_back(action);
     }
     return all;
   }
 
-  // Serves `n` requests one after the other, each in `latency` ms, so that estimates settle. Returns
-  // how many each server got; those that were not sent at once count under "".
-  std::map<std::string, int> ServeRequests(int n, Millis latency = 50, const std::string& cls = "view") {
-    std::map<std::string, int> taken;
+  // Serves `n` requests one after the other, each in `latency` ms, so that the estimates converge. Returns
+  // the number of requests by server; those that were not sent at once count under "".
+  std::map<std::string, int> ServeRequests(int n, Millis latency = 50,
+                                           const std::string& class_name = "view") {
+    std::map<std::string, int> requests_by_server;
     for (int i = 0; i < n; ++i) {
       const std::string id = "warm" + std::to_string(requests_served++);
-      const std::string server = ServerSentTo(SendRequest(id, cls));
-      ++taken[server];
+      const std::string server = ServerSentTo(SendRequest(id, class_name));
+      ++requests_by_server[server];
       now += latency;
       HandleEvent(TimerDue{"sweep"});
       if (!server.empty()) FinishAttempt(id, server, Result::kServed, latency);
     }
-    return taken;
+    return requests_by_server;
   }
 
+  // The server of the first Send among the actions; empty without one.
   static std::string ServerSentTo(const std::vector<Action>& actions) {
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) return send->server;
@@ -113,13 +120,15 @@
     return "";
   }
 
-  static bool ContainsLog(const std::vector<Action>& actions, const std::string& words) {
+  // Whether one of the actions is a log line that contains `text`.
+  static bool ContainsLog(const std::vector<Action>& actions, const std::string& text) {
     return std::any_of(actions.begin(), actions.end(), [&](const Action& a) {
       const auto* log = std::get_if<Log>(&a);
-      return log != nullptr && log->text.find(words) != std::string::npos;
+      return log != nullptr && log->text.find(text) != std::string::npos;
     });
   }
 
+  // The number of actions of type T.
   template <typename T>
   static int CountActions(const std::vector<Action>& actions) {
     return static_cast<int>(std::count_if(actions.begin(), actions.end(),
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The mechanism and each departure from it, one behaviour a test.
+// Unit tests of the decision module, one behavior per test.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,8 +12,8 @@
 namespace opalswitch::testing {
 namespace {
 
-TEST(Settings, ThatCannotWorkNameTheField) {
-  const auto fault = [](auto change) -> std::string {
+TEST(Settings, ErrorOfInvalidSettingsNamesTheField) {
+  const auto validation_error = [](auto change) -> std::string {
     Settings settings = MakeSettings();
     change(settings);
     try {
@@ -23,27 +23,32 @@
     }
     return "";
   };
-  EXPECT_NE(fault([](Settings& settings) { settings.classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(fault([](Settings& settings) { settings.classes[0].deadline = 0; }).find("deadline"),
+  EXPECT_NE(validation_error([](Settings& settings) { settings.classes.clear(); }).find("classes"),
             std::string::npos);
-  EXPECT_NE(fault([](Settings& settings) { settings.classes[0].aim = -1; }).find("aim"), std::string::npos);
-  EXPECT_NE(fault([](Settings& settings) {
+  EXPECT_NE(validation_error([](Settings& settings) { settings.classes[0].deadline = 0; }).find("deadline"),
+            std::string::npos);
+  EXPECT_NE(validation_error([](Settings& settings) { settings.classes[0].aim = -1; }).find("aim"),
+            std::string::npos);
+  EXPECT_NE(validation_error([](Settings& settings) {
               settings.tenants = {{"t", -1}};
             }).find("quota"),
             std::string::npos);
-  EXPECT_NE(fault([](Settings& settings) { settings.gateways = 0; }).find("gateways"), std::string::npos);
-  EXPECT_NE(fault([](Settings& settings) { settings.worst_class_weight = -1; }).find("worst_class_weight"),
+  EXPECT_NE(validation_error([](Settings& settings) { settings.gateways = 0; }).find("gateways"),
+            std::string::npos);
+  EXPECT_NE(validation_error([](Settings& settings) {
+              settings.worst_class_weight = -1;
+            }).find("worst_class_weight"),
             std::string::npos);
-  EXPECT_EQ(fault([](Settings&) {}), "");
+  EXPECT_EQ(validation_error([](Settings&) {}), "");
 }
 
-TEST(Direct, RequestGoesStraightOutWhenQueuesAreEmpty) {
+TEST(Admission, RequestIsSentAtOnceWhenQueuesAreEmpty) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 1);
 }
 
-TEST(Direct, NothingIsSentBeforeTheListAndTheHeldRequestIsRefusedInTime) {
+TEST(Admission, RequestBeforeTheFirstServerListIsQueuedAndRefusedInTime) {
   FakeGateway gateway;
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a")), 0);
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(990)) +
@@ -51,8 +56,8 @@
             1);
 }
 
-TEST(Queues, HeldRequestOfAnUnmeasuredClassIsAnsweredBeforeItsClientLeaves) {
-  for (const Millis left : {0.0, 1.0, 9.0, 21.0, 33.0, 456.6}) {  // no server: nothing can be sent
+TEST(Queues, QueuedRequestIsAnsweredBeforeItsClientGivesUp) {
+  for (const Millis left : {0.0, 1.0, 9.0, 21.0, 33.0, 456.6}) {  // there is no server, so nothing is sent
     FakeGateway gateway;
     int answered = FakeGateway::CountActions<Refuse>(gateway.SendRequest("a", "view", left));
     if (left > 0) answered += FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(left));
@@ -60,7 +65,7 @@
   }
 }
 
-TEST(Queues, HeldRequestWithLessTimeBehindOthersIsAnsweredInItsTime) {
+TEST(Queues, RequestWithAnEarlierDeadlineThanThoseAheadExpiresInTime) {
   Settings settings = MakeSettings();
   settings.classes[0].late_worth = 0.5;
   FakeGateway gateway(settings);
@@ -69,7 +74,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(110)), 1);
 }
 
-TEST(Queues, UnknownClassIsRefusedAndUnknownIdsAreIgnored) {
+TEST(Queues, UnknownClassIsRefusedAndUnknownRequestIdsAreIgnored) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.SendRequest("a", "no such class")), 1);
@@ -77,7 +82,8 @@
   EXPECT_TRUE(gateway.HandleEvent(ClientGone{"ghost"}).empty());
 }
 
-// Fills one server to its limit, then frees it answer by answer, and counts who is released.
+// Fills one server to its limit, then completes request by request. Returns the number of queued requests
+// that are sent, by the first three letters of the class.
 std::map<std::string, int> ReleasedByClass(Settings settings, int releases) {
   FakeGateway gateway(std::move(settings));
   gateway.SetServerCount(1);
@@ -104,10 +110,10 @@
   return released;
 }
 
-TEST(MostCreditFirst, ReleasesBackloggedClassesByWeight) {
+TEST(MostCreditFirst, BackloggedClassesAreReleasedInProportionToTheirWeight) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 3)};
-  // The fill requests are of class view too and stand before its others.
+  // The requests that fill the server are of class view, too, and are ahead of its others.
   const auto released = ReleasedByClass(settings, 24);
   int view = 0, pay = 0;
   for (const auto& [name, n] : released) (name == "pay" ? pay : view) += n;
@@ -115,7 +121,7 @@
   EXPECT_NEAR(static_cast<double>(pay) / (view + pay), 0.75, 0.1);
 }
 
-TEST(MostCreditFirst, OneBackloggedClassInDebtStillMoves) {
+TEST(MostCreditFirst, SingleBackloggedClassWithNegativeCreditIsReleased) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 99)};
   FakeGateway gateway(settings);
@@ -137,7 +143,7 @@
   EXPECT_GT(served, 30);
 }
 
-TEST(Queues, FullOneRefuses) {
+TEST(Queues, FullQueueRefusesRequests) {
   FakeGateway gateway;
   int refused = 0;
   for (int i = 0; i < 5000; ++i)
@@ -145,7 +151,7 @@
   EXPECT_GT(refused, 4000);
 }
 
-TEST(Tenants, TrafficWithinItsShareGoesFirst) {
+TEST(Tenants, RequestsWithinQuotaGoBeforeSurplusRequests) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 10}, {"big", 10}};
   FakeGateway gateway(settings);
@@ -153,7 +159,8 @@
   gateway.now += 150;
   gateway.SendRequest("small", "view", 2000, "small");
   gateway.SetServerCount(1);
-  // Big's own share is in front, small comes before what big sent beyond it.
+  // The part of big's requests that is within its quota comes first, then small's request, then big's
+  // surplus.
   ASSERT_FALSE(gateway.sent.empty());
   std::vector<std::string> order;
   for (std::size_t i = 0; i < gateway.sent.size(); ++i) {
@@ -165,7 +172,7 @@
   EXPECT_EQ(order.size(), 21u);
 }
 
-TEST(Tenants, UnknownOneCountsAsBeyondAnyShareAndIsStillServed) {
+TEST(Tenants, UnknownTenantsRequestsAreSurplusAndStillServed) {
   Settings settings = MakeSettings();
   settings.tenants = {{"known", 100}};
   FakeGateway gateway(settings);
@@ -177,7 +184,7 @@
   EXPECT_EQ(gateway.sent[0].request, "guest");
 }
 
-TEST(Events, NonFiniteNumbersNeverReachAnEstimate) {
+TEST(Events, NonFiniteNumbersDoNotReachEstimates) {
   FakeGateway gateway;
   Server odd = MakeServer("s0");
   odd.weight = std::numeric_limits<double>::quiet_NaN();
@@ -193,7 +200,7 @@
   for (const Send& send : gateway.sent) EXPECT_TRUE(send.timeout > 0 && send.timeout < 1e6);
 }
 
-TEST(Events, OutcomeToldTwiceOrOfNoAttemptChangesNothing) {
+TEST(Events, RepeatedOutcomesAndThoseOfUnknownAttemptsAreIgnored) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest("a", "pay"));
@@ -207,11 +214,11 @@
   EXPECT_TRUE(gateway.HandleEvent(StreamStarted{"b", 0}).empty());
 }
 
-TEST(Events, OddTimesNeitherStopTheClockNorLoseARequest) {
+TEST(Events, InvalidTimesNeitherStopTheClockNorLoseRequests) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
   for (const double odd : {nan, -1e12}) {
     FakeGateway gateway;
-    gateway.now = odd;  // the first event of all already
+    gateway.now = odd;  // already at the first event
     gateway.SetServerCount(2);
     gateway.now = 5000;
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest("a"));
@@ -225,7 +232,7 @@
   }
 }
 
-TEST(Events, ClockThatStandsStillNeitherCrashesNorFloods) {
+TEST(Events, ClockThatDoesNotAdvanceLimitsSendsAndLosesNoRequest) {
   FakeGateway gateway;
   gateway.SetServerCount(3);
   int sent = 0, refused = 0;
@@ -240,7 +247,7 @@
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(300)), 3000 - sent - refused);
 }
 
-TEST(Events, EmptyAndStaleListsSendNothingToWhoeverIsGone) {
+TEST(Events, ServersMissingFromTheLastListGetNoRequests) {
   FakeGateway gateway;
   gateway.SetServerCount(3);
   gateway.SetServers({});
@@ -252,7 +259,7 @@
   EXPECT_NE(FakeGateway::ServerSentTo(gateway.SendRequest("b")), "s0");
 }
 
-TEST(Pick, PrefersTheFasterServer) {
+TEST(Selection, FasterServerIsPreferred) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   std::map<std::string, int> taken;
@@ -267,7 +274,7 @@
   EXPECT_GT(taken["s0"], 5 * taken["s1"]);
 }
 
-TEST(Pick, FastErrorsDoNotLookFast) {
+TEST(Selection, ServerWithFastErrorsIsNotPreferred) {
   Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.SetServerCount(3);
@@ -284,7 +291,7 @@
   EXPECT_LT(bad, 10);
 }
 
-TEST(Ready, CrowdedServerHoldsRequestsBack) {
+TEST(ConcurrencyLimit, RequestsBeyondTheLimitOfTheOnlyServerAreNotSent) {
   FakeGateway gateway;
   gateway.SetServerCount(1);
   gateway.ServeRequests(40);
@@ -295,9 +302,9 @@
   EXPECT_LT(out, 60);
 }
 
-// The hang test's fleet: three servers of settled latency, then s0 stays silent.
-// Eight requests each 20 ms; s0 answers nothing, so what it has times out after 100 ms. Returns how
-// many it was sent in the last second, and whether the rate was cut.
+// Sends eight requests every 20 ms to servers with converged latency estimates. s0 hangs: its requests time
+// out after 100 ms. Returns the number of requests to s0 in the last second, and whether the rate was
+// decreased.
 std::pair<int, bool> SentToHungServer(int servers) {
   FakeGateway gateway;
   gateway.SetServerCount(servers);
@@ -329,11 +336,11 @@
   return {last, cut};
 }
 
-TEST(Hang, ServerWhoseRequestsTimeOutIsLeftAlone) { EXPECT_LE(SentToHungServer(3).first, 2); }
+TEST(HungServer, GetsNoMoreRequestsThanProbes) { EXPECT_LE(SentToHungServer(3).first, 2); }
 
-TEST(Hang, OneHungServerDoesNotCutTheRate) { EXPECT_FALSE(SentToHungServer(4).second); }
+TEST(HungServer, DoesNotDecreaseTheRate) { EXPECT_FALSE(SentToHungServer(4).second); }
 
-TEST(Hang, TrialThatTheFilledServerTurnsAwayIsNotRepeatedAtOnce) {
+TEST(HungServer, ProbeThatItRejectsIsNotRepeatedAtOnce) {
   FakeGateway gateway;
   gateway.SetServerCount(3);
   gateway.ServeRequests(60);
@@ -342,7 +349,7 @@
     const std::string id = "r" + std::to_string(i);
     const std::string to = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     gateway.AdvanceTime(10);
-    if (to == "s0") {  // silent at first, then full
+    if (to == "s0") {  // its requests time out at first; then it is full and rejects them
       const bool silent = ++hung < 4;
       if (silent) gateway.now += 200;
       gateway.FinishAttempt(id, to, silent ? Result::kTimedOut : Result::kRejected, silent ? 200 : 1);
@@ -353,9 +360,9 @@
   EXPECT_LT(hung, 15);
 }
 
-// What the first cut of the rate leaves, 0 if there is none, while `out` requests are out over four servers,
-// 200 a second are sent, and every third one ends in `result`.
-int CutWhile(std::size_t out, Result result) {
+// Sends 200 requests per second to four servers with `out` requests in flight, of which every third ends in
+// `result`. Returns the rate after its first decrease, or 0 if there is none.
+int RateAfterFirstDecrease(std::size_t out, Result result) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
   std::deque<std::pair<std::string, std::string>> sent;
@@ -376,21 +383,24 @@
   return 0;
 }
 
-TEST(Rate, FailuresSpreadOverServersCutIt) { EXPECT_GT(CutWhile(20, Result::kError), 0); }
+TEST(Rate, FailuresOfAllServersDecreaseIt) { EXPECT_GT(RateAfterFirstDecrease(20, Result::kError), 0); }
 
-// Guards against cuts for what no crowding can have caused: most places stand empty.
-TEST(Rate, FailuresOfServersThatStandIdleDoNot) { EXPECT_EQ(CutWhile(2, Result::kError), 0); }
+// Guards against rate decreases for failures that overload can not have caused: few requests are in flight.
+TEST(Rate, FailuresOfLightlyLoadedServersDoNotDecreaseIt) {
+  EXPECT_EQ(RateAfterFirstDecrease(2, Result::kError), 0);
+}
 
-// Guards against a first cut far below what is sent: the average over a second is not full yet.
-TEST(Rate, FirstCutGoesByWhatWasSentSoFar) {
-  EXPECT_GT(CutWhile(20, Result::kError), 120);
-  EXPECT_LT(CutWhile(20, Result::kError), 220);
+// Guards against a first decrease far below the rate that is sent: the average over a second does not cover a
+// second yet.
+TEST(Rate, FirstDecreaseIsRelativeToTheRateSentSoFar) {
+  EXPECT_GT(RateAfterFirstDecrease(20, Result::kError), 120);
+  EXPECT_LT(RateAfterFirstDecrease(20, Result::kError), 220);
 }
 
-// Guards against cuts for one server's fullness: it rests, and that is answer enough.
-TEST(Rate, RejectionsDoNotCutIt) { EXPECT_EQ(CutWhile(20, Result::kRejected), 0); }
+// Guards against rate decreases for rejections by a full server: its backoff is sufficient.
+TEST(Rate, RejectionsDoNotDecreaseIt) { EXPECT_EQ(RateAfterFirstDecrease(20, Result::kRejected), 0); }
 
-TEST(Retry, RejectedRequestGoesToAnotherServer) {
+TEST(Retry, RejectedRequestIsSentToAnotherServer) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   const std::string first = FakeGateway::ServerSentTo(gateway.SendRequest("a", "pay"));
@@ -400,7 +410,7 @@
   EXPECT_NE(first, second);
 }
 
-TEST(Retry, UnsafeRequestThatMayHaveRunFails) {
+TEST(Retry, UnsafeRequestThatMayHaveRunIsNotRetried) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
   const std::string first = FakeGateway::ServerSentTo(gateway.SendRequest("a", "pay"));
@@ -423,7 +433,7 @@
   }
 }
 
-TEST(Retry, KeyedRequestOfAZoneGroupStaysInItsZone) {
+TEST(Retry, KeyedRequestWithZoneScopeStaysInItsZone) {
   Settings settings = MakeSettings();
   settings.classes[1].group = DeduplicationScope::kZone;
   const auto server = [](std::string id, std::string zone, std::string cell) {
@@ -441,13 +451,13 @@
     gateway.FinishAttempt("r", first, Result::kError, 20);
     if (gateway.sent.size() < 2) continue;
     ++moved;
-    EXPECT_EQ(gateway.sent[1].server[0], first[0]) << "another zone does not drop the repeat";
+    EXPECT_EQ(gateway.sent[1].server[0], first[0]) << "the other zone does not drop repeats";
     EXPECT_NE(gateway.sent[1].server, first);
   }
   EXPECT_GT(moved, 10);
 }
 
-TEST(Retry, BudgetBoundsFurtherAttempts) {
+TEST(Retry, BudgetLimitsRetries) {
   FakeGateway gateway;
   gateway.SetServerCount(300);
   gateway.ServeRequests(200);
@@ -473,7 +483,7 @@
   EXPECT_LT(further, 0.2 * (first + 200) + 2);
 }
 
-TEST(Drain, NothingNewGoesToDrainingOrGoneOrUnlistedServers) {
+TEST(Drain, DrainingRemovedAndUnlistedServersGetNoRequests) {
   FakeGateway gateway;
   gateway.SetServerCount(3);
   Server draining = MakeServer("s0");
@@ -488,18 +498,18 @@
   }
 }
 
-TEST(Cold, StartedServerGetsOnlyItsPart) {
+TEST(WarmUp, StartedServerGetsNoMoreThanItsCapacityFraction) {
   Settings settings = MakeSettings();
   FakeGateway gateway(settings);
   gateway.now = 100000;
   gateway.SetServers({MakeServer("s0"), MakeServer("s1"), MakeServer("new", "0", gateway.now)});
   auto taken = gateway.ServeRequests(200, 10);  // 2 s
   EXPECT_GE(taken["new"], 1);
-  // By now it surely has 0.36 of its capacity; a warm server took about half of all.
+  // After 2 s it has at least 0.36 of its capacity; a warm server got about half of all requests.
   EXPECT_LT(taken["new"], 0.36 * std::max(taken["s0"], taken["s1"]) + 1);
 }
 
-TEST(Cold, ServerThatCouldNotBeReachedIsTreatedAsColdWhenItAnswersAgain) {
+TEST(WarmUp, ServerThatWasUnreachableIsColdWhenItRespondsAgain) {
   FakeGateway gateway;
   gateway.now = 100000;
   gateway.SetServerCount(3);
@@ -516,10 +526,10 @@
   gateway.now += 1000;
   auto taken = gateway.ServeRequests(300, 10);
   EXPECT_GE(taken["s0"], 1);
-  EXPECT_LT(taken["s0"], 75);  // a quarter of all: far from the third that it would take warm
+  EXPECT_LT(taken["s0"], 75);  // a quarter of all requests; warm, it would get a third
 }
 
-TEST(Cold, FailedConnectionsOfAServerThatJustAnsweredDoNotMakeItCold) {
+TEST(WarmUp, FailedConnectionsOfAServerThatJustRespondedDoNotMakeItCold) {
   FakeGateway gateway;
   gateway.now = 100000;
   gateway.SetServerCount(3);
@@ -543,21 +553,21 @@
   EXPECT_GT(taken, 75);
 }
 
-TEST(Ready, SpareTrafficLeavesBusyServersAlone) {
+TEST(ConcurrencyLimit, SurplusRequestsGetOnlyPartOfABusyServersLimit) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 1000}, {"big", 0.001}};
   settings.load_report_fields = {"util"};
-  const auto taken = [&](const char* tenant, double utilisation) {
+  const auto taken = [&](const char* tenant, double utilization) {
     FakeGateway gateway(settings);
     gateway.SetServerCount(1);
     for (int i = 0; i < 100; ++i) {
       const std::string id = "w" + std::to_string(i);
       gateway.SendRequest(id, "view", 2000, "small");
       gateway.now += 20;
-      gateway.HandleEvent(Outcome{id, 0, "s0", Result::kServed, true, 20, {utilisation + i % 2 * 1e-3}});
+      gateway.HandleEvent(Outcome{id, 0, "s0", Result::kServed, true, 20, {utilization + i % 2 * 1e-3}});
     }
     int out = 0;
-    gateway.SendRequest("own", "view", 2000, "big");  // uses up big's share, if any
+    gateway.SendRequest("own", "view", 2000, "big");  // uses up big's quota
     gateway.FinishAttempt("own", "s0", Result::kServed, 20);
     for (int i = 0; i < 30; ++i) {
       out +=
@@ -570,9 +580,9 @@
   EXPECT_EQ(taken("big", 0.3), taken("small", 0.3));
 }
 
-// Serves requests one after the other with the server's report of its utilisation, then counts how
-// many it is given at once.
-int TakenAfterReports(double utilisation, double first = 0.5) {
+// Serves requests one after the other, with load reports of this utilization (`first` in the first one).
+// Returns how many requests the server is sent at once afterwards.
+int SentAtOnceAfterReports(double utilization, double first = 0.5) {
   constexpr int kReports = 60;
   Settings settings = MakeSettings();
   settings.load_report_fields = {"inflight", "util"};
@@ -585,7 +595,7 @@
     gateway.AdvanceTime(50);
     if (!sent) continue;
     gateway.HandleEvent(
-        Outcome{id, 0, "s0", Result::kServed, true, 50, {3.0 + given % 2, given == 0 ? first : utilisation}});
+        Outcome{id, 0, "s0", Result::kServed, true, 50, {3.0 + given % 2, given == 0 ? first : utilization}});
     ++given;
   }
   gateway.AdvanceTime(5000);
@@ -595,16 +605,16 @@
   return out;
 }
 
-TEST(Ready, ServerThatReportsItselfBusyIsGivenLessThoughItsLatencyIsLevel) {
-  const int calm = TakenAfterReports(0.5);
-  const int busy = TakenAfterReports(1.0);
+TEST(ConcurrencyLimit, IsLowerForAServerThatReportsHighUtilizationAtConstantLatency) {
+  const int calm = SentAtOnceAfterReports(0.5);
+  const int busy = SentAtOnceAfterReports(1.0);
   EXPECT_GE(calm, 2);
-  EXPECT_EQ(busy, 1);  // never none: a server that gets nothing could not show that it recovered
+  EXPECT_EQ(busy, 1);  // not 0: a server without requests could not show that it has recovered
 }
 
-TEST(Ready, ManyGatewaysLeaveMoreOfAServerFree) {
-  // 0.85 busy is fine for few gateways, and too much where eight decide without each other.
-  const auto sends = [](double utilisation) {
+TEST(ConcurrencyLimit, TargetUtilizationIsLowerWithManyGateways) {
+  // A utilization of 0.85 is acceptable for few gateways, but not for eight that do not know of each other.
+  const auto sends = [](double utilization) {
     Settings settings = MakeSettings();
     settings.gateways = 8;
     settings.load_report_fields = {"util"};
@@ -615,7 +625,7 @@
       gateway.SendRequest("r" + std::to_string(i));
       gateway.AdvanceTime(50);
       for (; answered < gateway.sent.size(); ++answered) {
-        const double noisy = utilisation + static_cast<double>(answered % 2) * 1e-3;
+        const double noisy = utilization + static_cast<double>(answered % 2) * 1e-3;
         gateway.HandleEvent(
             Outcome{gateway.sent[answered].request, 0, "s0", Result::kServed, true, 50, {noisy}});
       }
@@ -625,10 +635,10 @@
   EXPECT_GT(sends(0.6), 2 * sends(0.85)) << sends(0.85);
 }
 
-TEST(Ready, ReportsThatAreShortOrNotNumbersAreSkipped) {
+TEST(ConcurrencyLimit, ReportsThatAreTooShortOrNotANumberAreIgnored) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  EXPECT_EQ(TakenAfterReports(1.0, nan), 1);  // later reports still count
-  EXPECT_EQ(TakenAfterReports(1.0, -1e9), 1);
+  EXPECT_EQ(SentAtOnceAfterReports(1.0, nan), 1);  // later reports still count
+  EXPECT_EQ(SentAtOnceAfterReports(1.0, -1e9), 1);
   Settings settings = MakeSettings();
   settings.load_report_fields = {"inflight", "util"};
   FakeGateway gateway(settings);
@@ -638,7 +648,7 @@
   EXPECT_FALSE(FakeGateway::ServerSentTo(gateway.SendRequest("next")).empty());
 }
 
-TEST(Ready, FirstLimitIsHigherWhereKeysWarmServersAndLowWhereReportsSoonShowRoom) {
+TEST(ConcurrencyLimit, StartsHigherWithKeyAffinityAndLowerWithLoadReports) {
   const auto taken = [](bool has_key_affinity, bool reports) {
     Settings settings = MakeSettings();
     settings.has_key_affinity = has_key_affinity;
@@ -654,13 +664,13 @@
   EXPECT_LT(taken(false, true), taken(false, false));
 }
 
-TEST(Queues, FurtherTryWhoseAimHasPassedGoesLast) {
+TEST(Queues, ClientRetryWhoseAimHasPassedIsSurplus) {
   Settings settings = MakeSettings();  // aim 1000 of a deadline of 2000
   settings.classes[0].late_worth = 0.5;
   FakeGateway gateway(settings);
   gateway.SendRequest("first", "view", 2000);
-  gateway.SendRequest("late", "view", 900);    // 1100 have passed since its first try
-  gateway.SendRequest("again", "view", 1500);  // still to be answered within its aim
+  gateway.SendRequest("late", "view", 900);    // 1100 ms have passed since its first try
+  gateway.SendRequest("again", "view", 1500);  // can still be answered within its aim
   gateway.SendRequest("new", "view", 2000);
   gateway.SetServerCount(1);
   gateway.AdvanceTime(10);
@@ -676,7 +686,7 @@
   EXPECT_EQ(gateway.sent[3].request, "late");
 }
 
-TEST(Queues, FurtherTryThatCanEarnNothingIsRefusedAtOnce) {
+TEST(Queues, ClientRetryWithoutWorthIsRefusedAtOnce) {
   Settings settings = MakeSettings();  // aim 1000 of a deadline of 2000, no worth after the aim
   FakeGateway gateway(settings);
   gateway.SetServerCount(3);
@@ -690,26 +700,25 @@
   EXPECT_EQ(FakeGateway::CountActions<Send>(earns.SendRequest("late", "view", 900)), 1);
 }
 
-TEST(Tenants, SmallShareOfOneGatewayOfManyBearsChance) {
+TEST(Tenants, SmallQuotaPerGatewayAllowsABurst) {
   Settings settings = MakeSettings();
   settings.gateways = 300;
-  settings.tenants = {{"t", 30}};  // 0.1 a second here
+  settings.tenants = {{"t", 30}};  // 0.1 requests per second at this gateway
   FakeGateway gateway(settings);
   gateway.SetServerCount(3);
   gateway.now += 20000;
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a", "view", 2000, "t")), 1);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("b", "view", 2000, "t")), 1);
-  const auto spare =
-      gateway.SendRequest("spare", "view", 2000, "other");  // never goes there: refused at once
+  const auto spare = gateway.SendRequest("spare", "view", 2000, "other");  // no quota: refused at once
   EXPECT_EQ(FakeGateway::CountActions<Send>(spare), 0);
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(spare), 1);
 }
 
-TEST(Queues, FirstTriesThatAreAllShortAreNotTakenForFurtherOnes) {
+TEST(Queues, FirstTriesWithShortDeadlinesAreNotTakenForClientRetries) {
   Settings settings = MakeSettings();
   settings.classes[0].late_worth = 0.5;
   FakeGateway gateway(settings);
-  gateway.SendRequest("short", "view", 900);  // a gateway whose clients all give up early
+  gateway.SendRequest("short", "view", 900);  // all clients give up early
   gateway.SendRequest("longer", "view", 902);
   gateway.SendRequest("late", "view", 500);
   gateway.SendRequest("last", "view", 898);
@@ -724,7 +733,7 @@
   EXPECT_EQ(gateway.sent[3].request, "late");
 }
 
-TEST(List, FailedWatchIsAskedForAgainWithoutAStampede) {
+TEST(Membership, FailedWatchIsRepeatedOnceWithBackoff) {
   Settings settings = MakeSettings();
   settings.requires_watch = true;
   FakeGateway gateway(settings);
@@ -738,7 +747,7 @@
   }
 }
 
-TEST(WarmKeys, SameKeyKeepsToTheSameServersAtEveryGateway) {
+TEST(KeyAffinity, KeyIsSentToTheSameServersByAllGateways) {
   Settings settings = MakeSettings();
   settings.has_key_affinity = true;
   std::map<std::string, std::set<std::string>> homes;
@@ -756,27 +765,27 @@
   for (const auto& [key, servers] : homes) EXPECT_LE(servers.size(), 2u) << key;
 }
 
-TEST(Queues, NoRequestWaitsMoreThanASmallPartOfItsTime) {
+TEST(Queues, QueueingTimeIsASmallFractionOfTheAim) {
   FakeGateway gateway;  // no server yet; aim 1000
   gateway.SendRequest("a");
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(140)), 0);
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.AdvanceTime(30)), 1);
 }
 
-std::vector<Server> Fleet(int n) {
+std::vector<Server> MakeServers(int n) {
   std::vector<Server> servers;
   for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
   return servers;
 }
 
-TEST(Subset, HundredsOfGatewaysSpreadEvenlyOverFewServersEach) {
+TEST(Subset, HundredsOfGatewaysUseFewServersEachAndSpreadEvenly) {
   std::map<std::string, int> users;
   std::size_t most = 0;
   Settings settings = MakeSettings();
   settings.gateways = 300;
   for (settings.index = 0; settings.index < settings.gateways; ++settings.index) {
     FakeGateway gateway(settings, settings.index);
-    gateway.SetServers(Fleet(60));
+    gateway.SetServers(MakeServers(60));
     const auto taken = gateway.ServeRequests(60, 200);
     for (const auto& [id, n] : taken) ++users[id];
     most = std::max(most, taken.size());
@@ -786,14 +795,14 @@
   for (const auto& [id, n] : users) EXPECT_TRUE(n >= 20 && n <= 50) << id << " " << n;
 }
 
-TEST(Pick, HardlyMeasuredServerCountsAsItsKindWhereManyGatewaysShareIt) {
+TEST(Selection, ServerWithFewSamplesIsRatedLikeItsKindWhereManyGatewaysShareIt) {
   const auto taken = [](int gateways) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       Settings settings = MakeSettings();
       settings.gateways = gateways;
       FakeGateway gateway(settings, seed);
-      auto fleet = Fleet(5);
+      auto fleet = MakeServers(5);
       fleet[4].kind = "slow";
       gateway.SetServers(fleet);
       const auto serve = [&](const std::string& id) {
@@ -810,24 +819,25 @@
     }
     return sent;
   };
-  EXPECT_GT(taken(1), 15);  // as fast as the median until it shows otherwise
+  EXPECT_GT(taken(1), 15);  // rated as the median server until it has samples
   EXPECT_LT(taken(20), 12);
 }
 
-TEST(Subset, IsHalfAsLargeWhereConnectionsStayOpen) {
+TEST(Subset, IsHalfAsLargeWithMultiplexedConnections) {
   Settings settings = MakeSettings();
   settings.gateways = 100;
   settings.index = 7;
   FakeGateway one(settings);
-  one.SetServers(Fleet(30));
+  one.SetServers(MakeServers(30));
   settings.streams_per_connection = 100;
   FakeGateway held(settings);
-  held.SetServers(Fleet(30));
+  held.SetServers(MakeServers(30));
   EXPECT_EQ(one.ServeRequests(100, 200).size(), 2 * held.ServeRequests(100, 200).size());
 }
 
-// Guards hosts against a hundred gateways that start within a moment, each with a high rate of its own.
-TEST(Rate, HundredGatewaysStartTogetherWithinWhatTenantsAreGranted) {
+// Guards against an overload of the servers by a hundred gateways that start at once, each with a high
+// initial rate.
+TEST(Rate, GatewaysThatStartAtOnceStayWithinTheTenantsQuotas) {
   Settings settings = MakeSettings();
   settings.gateways = 100;
   settings.tenants = {{"shop", 1000}};
@@ -844,30 +854,30 @@
   EXPECT_LE(sent, 3 * settings.gateways);
 }
 
-TEST(Cold, HundredsOfGatewaysTogetherDoNotPushItOver) {
-  Settings settings = MakeSettings();  // 0.2 of its capacity at first, all after 10 s
+TEST(WarmUp, HundredsOfGatewaysDoNotOverloadAColdServer) {
+  Settings settings = MakeSettings();  // a started server has 0.2 of its capacity, and all after 10 s
   settings.gateways = 200;
   int cold = 0, all = 0, later = 0;
   for (settings.index = 0; settings.index < settings.gateways; ++settings.index) {
     FakeGateway gateway(settings, settings.index);
     gateway.now = 100000;
-    auto fleet = Fleet(20);
+    auto fleet = MakeServers(20);
     gateway.SetServers(fleet);
     gateway.ServeRequests(50, 200);
     fleet.push_back(MakeServer("new", "0", gateway.now));
     gateway.SetServers(fleet);
-    const auto first = gateway.ServeRequests(10, 200);  // the 2 s after its start, and 6 s more
+    const auto first = gateway.ServeRequests(10, 200);  // the first 2 s after its start; 6 s follow below
     for (const auto& [id, n] : first) (id == "new" ? cold : all) += n;
     const auto then = gateway.ServeRequests(30, 200);
     if (then.contains("new")) later += then.at("new");
   }
-  // A request from each gateway would be 60 and more; a warm server gets about 100 in that time.
+  // One request from each gateway would be more than 60; a warm server gets about 100 in that time.
   EXPECT_LT(cold, 0.3 * all / 20);
   EXPECT_GT(later, cold);
 }
 
-// Guards usual clients against one that has more time than they: theirs are first tries, and not late.
-TEST(Queues, AFirstTryIsNotLateForAnothersLongDeadline) {
+// Guards against taking first tries for late client retries because of one client with a longer deadline.
+TEST(Queues, OneClientsLongDeadlineDoesNotMakeOtherFirstTriesLate) {
   for (const bool marks : {true, false}) {
     Settings settings = MakeSettings();
     settings.clients_mark_retries = marks;
@@ -881,7 +891,7 @@
     for (int i = 0; i < 50; ++i) serve("a" + std::to_string(i), 900);
     serve("long", 1900);
     const auto next =
-        gateway.SendRequest("usual", "view", 900);  // 1100 of 2000 ms gone, if it were a further try
+        gateway.SendRequest("usual", "view", 900);  // would be 1100 of 2000 ms late if it were a retry
     EXPECT_EQ(FakeGateway::CountActions<Refuse>(next), marks ? 0 : 1);
     if (!marks) continue;
     Request further;
@@ -893,8 +903,8 @@
   }
 }
 
-// Guards a tenant within its share: its clients' further tries must not use the share up.
-TEST(Tenants, FurtherTriesTakeNothingOfAShare) {
+// Guards against client retries that use up the quota of their tenant, which would cause further refusals.
+TEST(Tenants, ClientRetriesTakeNoQuota) {
   Settings settings = MakeSettings();
   settings.tenants = {{"t", 10}};
   settings.max_in_flight = 1;
@@ -911,7 +921,7 @@
     EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.HandleEvent(r)), 1);
   }
   gateway.SendRequest("out");
-  gateway.SendRequest("spare", "view", 2000, "nobody");  // beyond any share
+  gateway.SendRequest("spare", "view", 2000, "nobody");  // surplus
   gateway.SendRequest("first", "view", 2000, "t");
   ASSERT_EQ(gateway.sent.size(), 1u);
   gateway.FinishAttempt("out", "s0", Result::kServed, 20);
@@ -919,13 +929,13 @@
   EXPECT_EQ(gateway.sent[1].request, "first");
 }
 
-// Guards against a rate that is cut for connections that break, which are no sign of crowding: the fewer are
-// sent, the longer connections idle, and the more of them break.
-TEST(Rate, ResetsDoNotCutIt) { EXPECT_EQ(CutWhile(20, Result::kReset), 0); }
+// Guards against rate decreases for connection resets, which are no sign of overload. A lower rate would
+// leave connections idle for longer, which causes more resets.
+TEST(Rate, ConnectionResetsDoNotDecreaseIt) { EXPECT_EQ(RateAfterFirstDecrease(20, Result::kReset), 0); }
 
-// Guards the other side of holding a server against the rest: where all fail now and then, the one that fails
-// every time is still left out, and the rest are not.
-TEST(Suspect, IsTheOneThatFailsMoreThanTheRest) {
+// Guards against never ejecting a server because all servers fail now and then: one that always fails is
+// ejected, the others are not.
+TEST(Ejection, OnlyTheServerThatFailsMoreThanTheOthersIsEjected) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
   std::map<std::string, int> taken, late;
@@ -943,8 +953,9 @@
   for (const char* id : {"s0", "s1", "s3"}) EXPECT_GT(late[id], 30);
 }
 
-// Guards the gateway's descriptors: what can't be sent is held, and costs neither a token nor an attempt.
-TEST(Queues, SendsNoMoreThanTheGatewayHasRoomFor) {
+// Guards the gateway's descriptors: without a free connection, a request is queued and costs no token or
+// attempt.
+TEST(Queues, RequestsBeyondMaxInFlightAreQueued) {
   Settings settings = MakeSettings();
   settings.max_in_flight = 2;
   FakeGateway gateway(settings);
@@ -956,8 +967,8 @@
   EXPECT_EQ(gateway.sent.size(), 3u);
 }
 
-// Guards a refused client against being told to come back at once.
-TEST(Queues, ARefusalWithoutAQueueStillTellsWhenToComeBack) {
+// Guards against a retry-after of zero.
+TEST(Queues, RefusalWithoutAQueueHasARetryAfter) {
   Settings settings = MakeSettings();
   settings.sends_retry_after = true;
   settings.max_retry_after = 2000;
@@ -972,7 +983,7 @@
   }
 }
 
-// Part of each class's requests that is answered where twice as many are asked for as one server can answer.
+// Sends twice as many requests as one server can handle. Returns the fraction that is answered, by class.
 std::map<std::string, double> AnsweredShares(Settings settings) {
   FakeGateway gateway(std::move(settings));
   gateway.SetServerCount(1);
@@ -988,7 +999,7 @@
     note(gateway.SendRequest(cls + std::to_string(i), cls, 500));
     ++asked[cls];
     note(gateway.AdvanceTime(10));
-    if (i % 2 == 0 || out.empty()) continue;  // an answer each 20 ms
+    if (i % 2 == 0 || out.empty()) continue;  // a response every 20 ms
     const std::string id = out.front();
     out.pop_front();
     ++answered[id.substr(0, id.find_first_of("0123456789"))];
@@ -999,79 +1010,83 @@
   return shares;
 }
 
-// Guards the class of least worth: where the class that fares worst counts by itself, it is not starved.
-TEST(MostCreditFirst, LiftsTheClassThatFaresWorstWhereThatCounts) {
+// Guards against starving the class with the lowest worth where Settings::worst_class_weight is set.
+TEST(MostCreditFirst, WorstClassWeightRaisesTheClassWithTheFewestTimelyResponses) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 8)};
   const auto by_worth = AnsweredShares(settings);
   EXPECT_LT(by_worth.at("view"), by_worth.at("pay") / 2);
   settings.worst_class_weight = 1;
   const auto lifted = AnsweredShares(settings);
-  EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three of the steps by which it is weighed
+  EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three times the scale of the weights
   EXPECT_GT(lifted.at("view"), by_worth.at("view"));
   EXPECT_GT(lifted.at("view") + lifted.at("pay"), 0.9 * (by_worth.at("view") + by_worth.at("pay")));
 }
 
-// How many requests a gateway has out at once at a server that takes 100 ms for each, after so many rounds in
-// which all that were out were answered. Clients guess `guess`; 0 = nothing.
-int OutAtOnce(Millis guess, int rounds) {
+// Returns how many requests a gateway has in flight at a server that takes 100 ms for each, after `rounds`
+// rounds of offered load above the limit. Clients send the cost estimate `estimate`; 0 = none.
+int InFlightAfterRounds(Millis estimate, int rounds) {
   Settings settings = MakeSettings();
   settings.gateways = 2;
   FakeGateway gateway(settings);
   gateway.SetServerCount(1);
-  const auto answer_all = [&] {  // also what is released meanwhile
+  const auto answer_all = [&] {  // including those that are released meanwhile
     for (std::size_t i = 0; i < gateway.sent.size(); ++i)
       gateway.FinishAttempt(gateway.sent[i].request, "s0", Result::kServed, 100);
     gateway.sent.clear();
   };
   std::size_t out = 0;
   for (int round = 0, asked = 0; round < rounds; ++round) {
-    for (int i = 0; i < 12; ++i) {  // always more than it takes
-      gateway.HandleEvent(Request{"r" + std::to_string(++asked), "view", "", "", 2000, false, guess});
+    for (int i = 0; i < 12; ++i) {  // always more than its limit
+      gateway.HandleEvent(Request{"r" + std::to_string(++asked), "view", "", "", 2000, false, estimate});
     }
     gateway.AdvanceTime(100);
     out = gateway.sent.size();
     answer_all();
-    gateway.AdvanceTime(400);  // then nothing waits any more
+    gateway.AdvanceTime(400);  // then no request is queued any more
     answer_all();
   }
   return static_cast<int>(out);
 }
 
-// Guards hosts against a gateway that starts in a jam: it has met no uncrowded answer and took the jam for
-// the usual time, so its limits grew and hosts went over. What clients guess tells better.
-TEST(Ready, GuessesOfTheWorkTellAJamFromTheStart) {
-  EXPECT_LE(OutAtOnce(20, 40), 1);
-  EXPECT_GE(OutAtOnce(0, 40), 3);
-  EXPECT_GE(OutAtOnce(100, 40), 3);  // answers in the guessed time are no jam
+// Guards against a gateway that starts during an overload, takes its latency for the baseline and raises its
+// limits until servers fail. Cost estimates reveal the overload.
+TEST(ConcurrencyLimit, CostEstimatesRevealAnOverloadFromTheStart) {
+  EXPECT_LE(InFlightAfterRounds(20, 40), 1);
+  EXPECT_GE(InFlightAfterRounds(0, 40), 3);
+  EXPECT_GE(InFlightAfterRounds(100, 40), 3);  // responses within the estimated time show no overload
 }
 
-// Guards hosts at the start: with the work told, few requests are enough to learn from.
-TEST(Ready, FirstLimitIsLowWhereClientsGuessTheWork) {
-  EXPECT_LE(OutAtOnce(20, 1), 2);  // of two gateways
-  EXPECT_GE(OutAtOnce(0, 1), 4);
+// Guards servers at the start of a gateway: with cost estimates, few requests are enough to learn from.
+TEST(ConcurrencyLimit, StartsLowWithCostEstimates) {
+  EXPECT_LE(InFlightAfterRounds(20, 1), 2);  // each of two gateways
+  EXPECT_GE(InFlightAfterRounds(0, 1), 4);
 }
 
-// Guards a site whose clients all guess too little: what is measured counts in the end.
-TEST(Ready, GuessesThatAreAllTooSmallDoNotHoldForGood) { EXPECT_GE(OutAtOnce(20, 4000), 3); }
+// Guards against limits that stay too low because all estimates are too low: measured latency counts in the
+// end.
+TEST(ConcurrencyLimit, GrowsDespiteCostEstimatesThatAreAllTooLow) {
+  EXPECT_GE(InFlightAfterRounds(20, 4000), 3);
+}
 
-// Guards the estimates: a guess that is no number, negative or without bound decides nothing.
-TEST(Events, GuessesThatMakeNoSenseAreNone) {
+// Guards the statistics: cost estimates that are NaN, negative, infinite or far too large must have no
+// effect.
+TEST(Events, InvalidCostEstimatesAreIgnored) {
   const Millis never = std::numeric_limits<Millis>::quiet_NaN();
-  for (const Millis guess : {never, -5.0, 1e300, std::numeric_limits<Millis>::infinity()}) {
+  for (const Millis estimate : {never, -5.0, 1e300, std::numeric_limits<Millis>::infinity()}) {
     FakeGateway gateway;
     gateway.SetServerCount(2);
     for (int i = 0; i < 50; ++i) {
-      const Request r{"r" + std::to_string(i), "view", "", "", 2000, false, i % 2 == 0 ? guess : 20};
+      const Request r{"r" + std::to_string(i), "view", "", "", 2000, false, i % 2 == 0 ? estimate : 20};
       const std::string to = FakeGateway::ServerSentTo(gateway.HandleEvent(r));
-      ASSERT_NE(to, "") << guess << ' ' << i;
+      ASSERT_NE(to, "") << estimate << ' ' << i;
       gateway.now += 20;
       gateway.FinishAttempt(r.id, to, Result::kServed, 20);
     }
   }
 }
 
-TEST(Determinism, SameEventsGiveTheSameActions) {
+TEST(Determinism, SameEventsProduceTheSameActions) {
   FakeGateway a(MakeSettings(), 7), b(MakeSettings(), 7);
   a.SetServerCount(5);
   b.SetServerCount(5);
