--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -87,22 +87,22 @@
 std::map<std::string, int> ReleasedByClass(Settings settings, int releases) {
   FakeGateway gateway(std::move(settings));
   gateway.SetServerCount(1);
-  std::vector<std::string> out;
+  std::vector<std::string> in_flight;
   for (int i = 0; i < 40; ++i) {
     const std::string id = "fill" + std::to_string(i);
-    if (!FakeGateway::ServerSentTo(gateway.SendRequest(id)).empty()) out.push_back(id);
+    if (!FakeGateway::ServerSentTo(gateway.SendRequest(id)).empty()) in_flight.push_back(id);
   }
   for (int i = 0; i < 30; ++i) {
     gateway.SendRequest("view" + std::to_string(i), "view");
     gateway.SendRequest("pay" + std::to_string(i), "pay");
   }
   std::map<std::string, int> released;
-  for (int i = 0; i < releases && !out.empty(); ++i) {
-    const std::string id = out.front();
-    out.erase(out.begin());
+  for (int i = 0; i < releases && !in_flight.empty(); ++i) {
+    const std::string id = in_flight.front();
+    in_flight.erase(in_flight.begin());
     for (const Action& a : gateway.FinishAttempt(id, "s0", Result::kServed, 10)) {
       if (const auto* send = std::get_if<Send>(&a)) {
-        out.push_back(send->request);
+        in_flight.push_back(send->request);
         released[send->request.substr(0, 3)]++;
       }
     }
@@ -126,18 +126,18 @@
   settings.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 99)};
   FakeGateway gateway(settings);
   gateway.SetServerCount(1);
-  std::vector<std::string> out;
+  std::vector<std::string> in_flight;
   int served = 0;
   for (int i = 0; i < 60; ++i) {
     if (!FakeGateway::ServerSentTo(gateway.SendRequest("r" + std::to_string(i))).empty())
-      out.push_back("r" + std::to_string(i));
+      in_flight.push_back("r" + std::to_string(i));
   }
-  while (!out.empty()) {
-    const std::string id = out.back();
-    out.pop_back();
+  while (!in_flight.empty()) {
+    const std::string id = in_flight.back();
+    in_flight.pop_back();
     ++served;
     for (const Action& a : gateway.FinishAttempt(id, "s0", Result::kServed, 10)) {
-      if (const auto* send = std::get_if<Send>(&a)) out.push_back(send->request);
+      if (const auto* send = std::get_if<Send>(&a)) in_flight.push_back(send->request);
     }
   }
   EXPECT_GT(served, 30);
@@ -262,16 +262,16 @@
 TEST(Selection, FasterServerIsPreferred) {
   FakeGateway gateway;
   gateway.SetServerCount(2);
-  std::map<std::string, int> taken;
+  std::map<std::string, int> requests_sent;
   for (int i = 0; i < 200; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     const Millis latency = server == "s0" ? 20 : 200;
-    taken[server]++;
+    requests_sent[server]++;
     gateway.now += latency;
     gateway.FinishAttempt(id, server, Result::kServed, latency);
   }
-  EXPECT_GT(taken["s0"], 5 * taken["s1"]);
+  EXPECT_GT(requests_sent["s0"], 5 * requests_sent["s1"]);
 }
 
 TEST(Selection, ServerWithFastErrorsIsNotPreferred) {
@@ -295,11 +295,11 @@
   FakeGateway gateway;
   gateway.SetServerCount(1);
   gateway.ServeRequests(40);
-  int out = 0;
+  int in_flight = 0;
   for (int i = 0; i < 200; ++i)
-    out += FakeGateway::CountActions<Send>(gateway.SendRequest("r" + std::to_string(i)));
-  EXPECT_GE(out, 1);
-  EXPECT_LT(out, 60);
+    in_flight += FakeGateway::CountActions<Send>(gateway.SendRequest("r" + std::to_string(i)));
+  EXPECT_GE(in_flight, 1);
+  EXPECT_LT(in_flight, 60);
 }
 
 // Sends eight requests every 20 ms to servers with converged latency estimates. s0 hangs: its requests time
@@ -309,9 +309,9 @@
   FakeGateway gateway;
   gateway.SetServerCount(servers);
   gateway.ServeRequests(50 * servers);
-  bool cut = false;
+  bool rate_decreased = false;
   int last = 0;
-  std::deque<std::pair<Millis, std::string>> stuck;
+  std::deque<std::pair<Millis, std::string>> hung_requests;
   for (int round = 0; round < 150; ++round) {
     std::map<std::string, std::string> sent;
     for (int i = 0; i < 8; ++i) {
@@ -319,21 +319,22 @@
       if (const std::string to = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay")); !to.empty())
         sent[id] = to;
     }
-    cut |= FakeGateway::ContainsLog(gateway.AdvanceTime(20), "rate cut");
+    rate_decreased |= FakeGateway::ContainsLog(gateway.AdvanceTime(20), "rate cut");
     for (const auto& [id, to] : sent) {
       if (to == "s0") {
-        stuck.emplace_back(gateway.now + 80, id);
+        hung_requests.emplace_back(gateway.now + 80, id);
         last += round >= 100;
       } else {
-        cut |= FakeGateway::ContainsLog(gateway.FinishAttempt(id, to, Result::kServed, 20), "rate cut");
+        rate_decreased |=
+            FakeGateway::ContainsLog(gateway.FinishAttempt(id, to, Result::kServed, 20), "rate cut");
       }
     }
-    for (; !stuck.empty() && stuck.front().first <= gateway.now; stuck.pop_front()) {
-      cut |= FakeGateway::ContainsLog(
-          gateway.FinishAttempt(stuck.front().second, "s0", Result::kTimedOut, 100), "rate cut");
+    for (; !hung_requests.empty() && hung_requests.front().first <= gateway.now; hung_requests.pop_front()) {
+      rate_decreased |= FakeGateway::ContainsLog(
+          gateway.FinishAttempt(hung_requests.front().second, "s0", Result::kTimedOut, 100), "rate cut");
     }
   }
-  return {last, cut};
+  return {last, rate_decreased};
 }
 
 TEST(HungServer, GetsNoMoreRequestsThanProbes) { EXPECT_LE(SentToHungServer(3).first, 2); }
@@ -360,9 +361,9 @@
   EXPECT_LT(hung, 15);
 }
 
-// Sends 200 requests per second to four servers with `out` requests in flight, of which every third ends in
-// `result`. Returns the rate after its first decrease, or 0 if there is none.
-int RateAfterFirstDecrease(std::size_t out, Result result) {
+// Sends 200 requests per second to four servers with `in_flight` requests in flight, of which every third
+// ends in `result`. Returns the rate after its first decrease, or 0 if there is none.
+int RateAfterFirstDecrease(std::size_t in_flight, Result result) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
   std::deque<std::pair<std::string, std::string>> sent;
@@ -371,11 +372,11 @@
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     if (!server.empty()) sent.emplace_back(id, server);
     gateway.now += 5;
-    if (sent.size() <= out) continue;
+    if (sent.size() <= in_flight) continue;
     const auto [first, at] = sent.front();
     sent.pop_front();
     for (const Action& a : gateway.FinishAttempt(first, at, i % 3 == 2 ? result : Result::kServed,
-                                                 5.0 * static_cast<double>(out))) {
+                                                 5.0 * static_cast<double>(in_flight))) {
       const auto* log = std::get_if<Log>(&a);
       if (log != nullptr && log->text.find("rate cut to ") == 0) return std::stoi(log->text.substr(12));
     }
@@ -461,7 +462,7 @@
   FakeGateway gateway;
   gateway.SetServerCount(300);
   gateway.ServeRequests(200);
-  int first = 0, further = 0;
+  int first = 0, retries = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id));
@@ -474,13 +475,13 @@
       if (send != nullptr && send->request == id) next = send->server;
     }
     if (next.empty()) continue;
-    ++further;
+    ++retries;
     gateway.now += 20;
     gateway.FinishAttempt(id, next, Result::kServed, 20, 1);
   }
   EXPECT_GT(first, 100);
-  EXPECT_GT(further, 0);
-  EXPECT_LT(further, 0.2 * (first + 200) + 2);
+  EXPECT_GT(retries, 0);
+  EXPECT_LT(retries, 0.2 * (first + 200) + 2);
 }
 
 TEST(Drain, DrainingRemovedAndUnlistedServersGetNoRequests) {
@@ -503,10 +504,10 @@
   FakeGateway gateway(settings);
   gateway.now = 100000;
   gateway.SetServers({MakeServer("s0"), MakeServer("s1"), MakeServer("new", "0", gateway.now)});
-  auto taken = gateway.ServeRequests(200, 10);  // 2 s
-  EXPECT_GE(taken["new"], 1);
+  auto requests_sent = gateway.ServeRequests(200, 10);  // 2 s
+  EXPECT_GE(requests_sent["new"], 1);
   // After 2 s it has at least 0.36 of its capacity; a warm server got about half of all requests.
-  EXPECT_LT(taken["new"], 0.36 * std::max(taken["s0"], taken["s1"]) + 1);
+  EXPECT_LT(requests_sent["new"], 0.36 * std::max(requests_sent["s0"], requests_sent["s1"]) + 1);
 }
 
 TEST(WarmUp, ServerThatWasUnreachableIsColdWhenItRespondsAgain) {
@@ -524,9 +525,9 @@
     gateway.FinishAttempt(id, server, server == "s0" ? Result::kConnectFailed : Result::kServed, 10);
   }
   gateway.now += 1000;
-  auto taken = gateway.ServeRequests(300, 10);
-  EXPECT_GE(taken["s0"], 1);
-  EXPECT_LT(taken["s0"], 75);  // a quarter of all requests; warm, it would get a third
+  auto requests_sent = gateway.ServeRequests(300, 10);
+  EXPECT_GE(requests_sent["s0"], 1);
+  EXPECT_LT(requests_sent["s0"], 75);  // a quarter of all requests; warm, it would get a third
 }
 
 TEST(WarmUp, FailedConnectionsOfAServerThatJustRespondedDoNotMakeItCold) {
@@ -534,12 +535,12 @@
   gateway.now = 100000;
   gateway.SetServerCount(3);
   gateway.ServeRequests(90, 10);
-  int taken = 0, failed = 0;
+  int requests_sent = 0, failed = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     gateway.now += 10;
-    if (i >= 300) taken += server == "s0";
+    if (i >= 300) requests_sent += server == "s0";
     if (server == "s0" && failed < 2) {
       ++failed;
       const std::string next =
@@ -550,14 +551,14 @@
     }
   }
   EXPECT_EQ(failed, 2);
-  EXPECT_GT(taken, 75);
+  EXPECT_GT(requests_sent, 75);
 }
 
 TEST(ConcurrencyLimit, SurplusRequestsGetOnlyPartOfABusyServersLimit) {
   Settings settings = MakeSettings();
   settings.tenants = {{"small", 1000}, {"big", 0.001}};
   settings.load_report_fields = {"util"};
-  const auto taken = [&](const char* tenant, double utilization) {
+  const auto requests_sent = [&](const char* tenant, double utilization) {
     FakeGateway gateway(settings);
     gateway.SetServerCount(1);
     for (int i = 0; i < 100; ++i) {
@@ -566,18 +567,18 @@
       gateway.now += 20;
       gateway.HandleEvent(Outcome{id, 0, "s0", Result::kServed, true, 20, {utilization + i % 2 * 1e-3}});
     }
-    int out = 0;
+    int in_flight = 0;
     gateway.SendRequest("own", "view", 2000, "big");  // uses up big's quota
     gateway.FinishAttempt("own", "s0", Result::kServed, 20);
     for (int i = 0; i < 30; ++i) {
-      out +=
+      in_flight +=
           FakeGateway::CountActions<Send>(gateway.SendRequest("r" + std::to_string(i), "view", 2000, tenant));
     }
-    return out;
+    return in_flight;
   };
-  EXPECT_GE(taken("small", 0.8), 2);
-  EXPECT_LT(taken("big", 0.8), taken("small", 0.8));
-  EXPECT_EQ(taken("big", 0.3), taken("small", 0.3));
+  EXPECT_GE(requests_sent("small", 0.8), 2);
+  EXPECT_LT(requests_sent("big", 0.8), requests_sent("small", 0.8));
+  EXPECT_EQ(requests_sent("big", 0.3), requests_sent("small", 0.3));
 }
 
 // Serves requests one after the other, with load reports of this utilization (`first` in the first one).
@@ -599,10 +600,10 @@
     ++given;
   }
   gateway.AdvanceTime(5000);
-  int out = 0;
+  int in_flight = 0;
   for (int i = 0; i < 30; ++i)
-    out += FakeGateway::CountActions<Send>(gateway.SendRequest("burst" + std::to_string(i)));
-  return out;
+    in_flight += FakeGateway::CountActions<Send>(gateway.SendRequest("burst" + std::to_string(i)));
+  return in_flight;
 }
 
 TEST(ConcurrencyLimit, IsLowerForAServerThatReportsHighUtilizationAtConstantLatency) {
@@ -649,19 +650,19 @@
 }
 
 TEST(ConcurrencyLimit, StartsHigherWithKeyAffinityAndLowerWithLoadReports) {
-  const auto taken = [](bool has_key_affinity, bool reports) {
+  const auto requests_sent = [](bool has_key_affinity, bool reports) {
     Settings settings = MakeSettings();
     settings.has_key_affinity = has_key_affinity;
     if (reports) settings.load_report_fields = {"util"};
     FakeGateway gateway(settings);
     gateway.SetServerCount(1);
-    int out = 0;
+    int in_flight = 0;
     for (int i = 0; i < 40; ++i)
-      out += FakeGateway::CountActions<Send>(gateway.SendRequest("r" + std::to_string(i)));
-    return out;
+      in_flight += FakeGateway::CountActions<Send>(gateway.SendRequest("r" + std::to_string(i)));
+    return in_flight;
   };
-  EXPECT_GT(taken(true, false), taken(false, false));
-  EXPECT_LT(taken(false, true), taken(false, false));
+  EXPECT_GT(requests_sent(true, false), requests_sent(false, false));
+  EXPECT_LT(requests_sent(false, true), requests_sent(false, false));
 }
 
 TEST(Queues, ClientRetryWhoseAimHasPassedIsSurplus) {
@@ -709,9 +710,9 @@
   gateway.now += 20000;
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("a", "view", 2000, "t")), 1);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("b", "view", 2000, "t")), 1);
-  const auto spare = gateway.SendRequest("spare", "view", 2000, "other");  // no quota: refused at once
-  EXPECT_EQ(FakeGateway::CountActions<Send>(spare), 0);
-  EXPECT_EQ(FakeGateway::CountActions<Refuse>(spare), 1);
+  const auto surplus = gateway.SendRequest("spare", "view", 2000, "other");  // no quota: refused at once
+  EXPECT_EQ(FakeGateway::CountActions<Send>(surplus), 0);
+  EXPECT_EQ(FakeGateway::CountActions<Refuse>(surplus), 1);
 }
 
 TEST(Queues, FirstTriesWithShortDeadlinesAreNotTakenForClientRetries) {
@@ -742,8 +743,8 @@
   EXPECT_EQ(watches, 1);
   for (int i = 0; i < 6; ++i) {
     gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
-    const int asked = FakeGateway::CountActions<Watch>(gateway.AdvanceTime(5000));
-    EXPECT_EQ(asked, 1);
+    const int watch_count = FakeGateway::CountActions<Watch>(gateway.AdvanceTime(5000));
+    EXPECT_EQ(watch_count, 1);
   }
 }
 
@@ -786,9 +787,9 @@
   for (settings.index = 0; settings.index < settings.gateways; ++settings.index) {
     FakeGateway gateway(settings, settings.index);
     gateway.SetServers(MakeServers(60));
-    const auto taken = gateway.ServeRequests(60, 200);
-    for (const auto& [id, n] : taken) ++users[id];
-    most = std::max(most, taken.size());
+    const auto requests_sent = gateway.ServeRequests(60, 200);
+    for (const auto& [id, n] : requests_sent) ++users[id];
+    most = std::max(most, requests_sent.size());
   }
   EXPECT_LE(most, 9u);
   ASSERT_EQ(users.size(), 60u);
@@ -796,7 +797,7 @@
 }
 
 TEST(Selection, ServerWithFewSamplesIsRatedLikeItsKindWhereManyGatewaysShareIt) {
-  const auto taken = [](int gateways) {
+  const auto requests_sent = [](int gateways) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       Settings settings = MakeSettings();
@@ -819,20 +820,20 @@
     }
     return sent;
   };
-  EXPECT_GT(taken(1), 15);  // rated as the median server until it has samples
-  EXPECT_LT(taken(20), 12);
+  EXPECT_GT(requests_sent(1), 15);  // rated as the median server until it has samples
+  EXPECT_LT(requests_sent(20), 12);
 }
 
 TEST(Subset, IsHalfAsLargeWithMultiplexedConnections) {
   Settings settings = MakeSettings();
   settings.gateways = 100;
   settings.index = 7;
-  FakeGateway one(settings);
-  one.SetServers(MakeServers(30));
+  FakeGateway single_stream(settings);
+  single_stream.SetServers(MakeServers(30));
   settings.streams_per_connection = 100;
-  FakeGateway held(settings);
-  held.SetServers(MakeServers(30));
-  EXPECT_EQ(one.ServeRequests(100, 200).size(), 2 * held.ServeRequests(100, 200).size());
+  FakeGateway multiplexed(settings);
+  multiplexed.SetServers(MakeServers(30));
+  EXPECT_EQ(single_stream.ServeRequests(100, 200).size(), 2 * multiplexed.ServeRequests(100, 200).size());
 }
 
 // Guards against an overload of the servers by a hundred gateways that start at once, each with a high
@@ -894,12 +895,12 @@
         gateway.SendRequest("usual", "view", 900);  // would be 1100 of 2000 ms late if it were a retry
     EXPECT_EQ(FakeGateway::CountActions<Refuse>(next), marks ? 0 : 1);
     if (!marks) continue;
-    Request further;
-    further.id = "further";
-    further.class_name = "view";
-    further.time_left = 700;
-    further.retry = true;
-    EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.HandleEvent(further)), 1);
+    Request retry;
+    retry.id = "further";
+    retry.class_name = "view";
+    retry.time_left = 700;
+    retry.retry = true;
+    EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.HandleEvent(retry)), 1);
   }
 }
 
@@ -938,12 +939,12 @@
 TEST(Ejection, OnlyTheServerThatFailsMoreThanTheOthersIsEjected) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
-  std::map<std::string, int> taken, late;
+  std::map<std::string, int> requests_sent, late;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ASSERT_NE(server, "");
-    const int n = ++taken[server];
+    const int n = ++requests_sent[server];
     if (i >= 200) ++late[server];
     gateway.now += 30;
     gateway.FinishAttempt(id, server,
@@ -987,26 +988,26 @@
 std::map<std::string, double> AnsweredShares(Settings settings) {
   FakeGateway gateway(std::move(settings));
   gateway.SetServerCount(1);
-  std::map<std::string, int> asked, answered;
-  std::deque<std::string> out;
+  std::map<std::string, int> requests, answered;
+  std::deque<std::string> in_flight;
   const auto note = [&](const std::vector<Action>& actions) {
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) out.push_back(send->request);
+      if (const auto* send = std::get_if<Send>(&a)) in_flight.push_back(send->request);
     }
   };
   for (int i = 0; i < 8000; ++i) {
-    const std::string cls = i % 2 == 0 ? "view" : "pay";
-    note(gateway.SendRequest(cls + std::to_string(i), cls, 500));
-    ++asked[cls];
+    const std::string class_name = i % 2 == 0 ? "view" : "pay";
+    note(gateway.SendRequest(class_name + std::to_string(i), class_name, 500));
+    ++requests[class_name];
     note(gateway.AdvanceTime(10));
-    if (i % 2 == 0 || out.empty()) continue;  // a response every 20 ms
-    const std::string id = out.front();
-    out.pop_front();
+    if (i % 2 == 0 || in_flight.empty()) continue;  // a response every 20 ms
+    const std::string id = in_flight.front();
+    in_flight.pop_front();
     ++answered[id.substr(0, id.find_first_of("0123456789"))];
     note(gateway.FinishAttempt(id, "s0", Result::kServed, 40));
   }
   std::map<std::string, double> shares;
-  for (const auto& [cls, n] : asked) shares[cls] = 1.0 * answered[cls] / n;
+  for (const auto& [class_name, n] : requests) shares[class_name] = 1.0 * answered[class_name] / n;
   return shares;
 }
 
@@ -1035,18 +1036,19 @@
       gateway.FinishAttempt(gateway.sent[i].request, "s0", Result::kServed, 100);
     gateway.sent.clear();
   };
-  std::size_t out = 0;
-  for (int round = 0, asked = 0; round < rounds; ++round) {
+  std::size_t in_flight = 0;
+  for (int round = 0, request_count = 0; round < rounds; ++round) {
     for (int i = 0; i < 12; ++i) {  // always more than its limit
-      gateway.HandleEvent(Request{"r" + std::to_string(++asked), "view", "", "", 2000, false, estimate});
+      gateway.HandleEvent(
+          Request{"r" + std::to_string(++request_count), "view", "", "", 2000, false, estimate});
     }
     gateway.AdvanceTime(100);
-    out = gateway.sent.size();
+    in_flight = gateway.sent.size();
     answer_all();
     gateway.AdvanceTime(400);  // then no request is queued any more
     answer_all();
   }
-  return static_cast<int>(out);
+  return static_cast<int>(in_flight);
 }
 
 // Guards against a gateway that starts during an overload, takes its latency for the baseline and raises its
