--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,24 +9,24 @@
 namespace opalswitch::testing {
 namespace {
 
-struct Try {
+struct TrackedAttempt {
   std::string server;
-  Millis sent = 0;
-  Millis ends = 0;
-  bool out = true;
-  bool unrun = false;  // proven not to have run
+  Millis sent_at = 0;
+  Millis times_out_at = 0;
+  bool in_flight = true;
+  bool never_ran = false;  // proven not to have run
 };
 
-struct Ask {
-  const ClassSettings* cls = nullptr;
-  Millis until = 0;
-  std::vector<Try> tries;
-  bool answered = false;
+struct TrackedRequest {
+  const ClassSettings* class_settings = nullptr;
+  Millis client_deadline = 0;
+  std::vector<TrackedAttempt> attempts;
+  bool is_answered = false;
 };
 
 struct Checker {
   const Settings& settings;
-  std::map<std::string, Ask> asks;
+  std::map<std::string, TrackedRequest> requests;
   std::map<std::string, Server> servers;  // as last told
   std::map<std::string, bool> up;
 
@@ -39,127 +39,138 @@
   }
 
   void OnSend(Millis now, const Send& send) {
-    Ask& ask = asks.at(send.request);
-    ASSERT_FALSE(ask.answered) << "sent after its end: " << send.request;
+    TrackedRequest& request = requests.at(send.request);
+    ASSERT_FALSE(request.is_answered) << "sent after its end: " << send.request;
     ASSERT_TRUE(up[send.server]) << "sent to a server told to be leaving";
-    ASSERT_LT(static_cast<int>(ask.tries.size()), settings.max_attempts);
-    for (const Try& t : ask.tries) {
-      ASSERT_TRUE(!t.out) << "two attempts at once";
-      if (ask.cls->effect == Effect::kUnsafe) {
-        ASSERT_TRUE(!t.out && t.unrun) << "unsafe request sent twice";
+    ASSERT_LT(static_cast<int>(request.attempts.size()), settings.max_attempts);
+    for (const TrackedAttempt& attempt : request.attempts) {
+      ASSERT_TRUE(!attempt.in_flight) << "two attempts at once";
+      if (request.class_settings->effect == Effect::kUnsafe) {
+        ASSERT_TRUE(!attempt.in_flight && attempt.never_ran) << "unsafe request sent twice";
       }
     }
-    if (ask.cls->effect == Effect::kKeyed) {
-      for (const Try& t : ask.tries) {
-        if (t.unrun) continue;
-        ASSERT_EQ(servers.at(t.server).cell, servers.at(send.server).cell) << "left its group";
-        ASSERT_LT(now - t.sent, ask.cls->repeat_window) << "repeat after the window";
+    if (request.class_settings->effect == Effect::kKeyed) {
+      for (const TrackedAttempt& attempt : request.attempts) {
+        if (attempt.never_ran) continue;
+        ASSERT_EQ(servers.at(attempt.server).cell, servers.at(send.server).cell) << "left its group";
+        ASSERT_LT(now - attempt.sent_at, request.class_settings->repeat_window) << "repeat after the window";
       }
     }
-    ask.tries.push_back({send.server, now, std::min(now + send.timeout, ask.until), true, false});
+    request.attempts.push_back(
+        {send.server, now, std::min(now + send.timeout, request.client_deadline), true, false});
   }
 
   void OnFinal(Millis now, const std::string& id, bool refusal) {
-    Ask& ask = asks.at(id);
-    ASSERT_FALSE(ask.answered) << "answered twice: " << id;
-    ASSERT_LE(now, ask.until + 20) << "answered too late: " << id;
-    if (refusal && ask.cls->effect != Effect::kSafe) {
-      for (const Try& t : ask.tries) ASSERT_TRUE(!t.out && t.unrun) << "refused though it may have run";
+    TrackedRequest& request = requests.at(id);
+    ASSERT_FALSE(request.is_answered) << "answered twice: " << id;
+    ASSERT_LE(now, request.client_deadline + 20) << "answered too late: " << id;
+    if (refusal && request.class_settings->effect != Effect::kSafe) {
+      for (const TrackedAttempt& attempt : request.attempts)
+        ASSERT_TRUE(!attempt.in_flight && attempt.never_ran) << "refused though it may have run";
     }
-    ask.answered = true;
+    request.is_answered = true;
   }
 };
 
-void RandomDay(std::uint64_t seed, bool ask_mode) {
+void CheckRandomEvents(std::uint64_t seed, bool requires_watch) {
   std::mt19937_64 random(seed);
   const auto chance = [&](double p) { return std::uniform_real_distribution<>(0, 1)(random) < p; };
   Settings settings = MakeSettings();
-  settings.requires_watch = ask_mode;
+  settings.requires_watch = requires_watch;
   settings.gateways = 1 + static_cast<int>(random() % 4);
   FakeGateway gateway(settings, seed);
-  Checker check{settings, {}, {}, {}};
+  Checker checker{settings, {}, {}, {}};
 
-  std::map<std::string, Server> fleet;
+  std::map<std::string, Server> servers;
   for (int i = 0; i < 6; ++i) {
     Server s = MakeServer("s" + std::to_string(i), std::to_string(i % 2));
-    fleet[s.id] = s;
+    servers[s.id] = s;
   }
-  const auto feed = [&](const Event& e) { check.Apply(gateway.now, gateway.HandleEvent(e)); };
-  const auto tell = [&](const Server& s) {
-    fleet[s.id] = check.servers[s.id] = s;
-    check.up[s.id] = s.state == ServerState::kUp;
-    feed(MembershipUpdate{MembershipUpdate::Kind::kDelta, {s}});
+  const auto handle = [&](const Event& e) { checker.Apply(gateway.now, gateway.HandleEvent(e)); };
+  const auto update_server = [&](const Server& s) {
+    servers[s.id] = checker.servers[s.id] = s;
+    checker.up[s.id] = s.state == ServerState::kUp;
+    handle(MembershipUpdate{MembershipUpdate::Kind::kDelta, {s}});
   };
-  for (const auto& [id, s] : std::map(fleet)) tell(s);
+  for (const auto& [id, s] : std::map(servers)) update_server(s);
 
-  int next = 0;
-  double trouble = 0.1;
+  int next_id = 0;
+  double failure_probability = 0.1;
   for (int step = 0; step < 6000 && !::testing::Test::HasFatalFailure(); ++step) {
     gateway.now += 5;
-    if (step % 500 == 0) trouble = chance(0.5) ? 0.5 : 0.05;
-    if (step % 2 == 0) feed(TimerDue{"sweep"});
+    if (step % 500 == 0) failure_probability = chance(0.5) ? 0.5 : 0.05;
+    if (step % 2 == 0) handle(TimerDue{"sweep"});
     while (step < 5500 && chance(0.4)) {
       Request r;
-      r.id = "q" + std::to_string(next++);
-      const auto& cls = settings.classes[random() % 3];
-      r.class_name = cls.name;
+      r.id = "q" + std::to_string(next_id++);
+      const auto& class_settings = settings.classes[random() % 3];
+      r.class_name = class_settings.name;
       r.time_left = 50 + static_cast<double>(random() % 1950);
-      check.asks[r.id] = {&cls, gateway.now + r.time_left, {}, false};
-      feed(r);
+      checker.requests[r.id] = {&class_settings, gateway.now + r.time_left, {}, false};
+      handle(r);
     }
     if (chance(0.01)) {  // a server drains, leaves, or comes back as a new process
-      Server s = std::next(fleet.begin(), static_cast<long>(random() % fleet.size()))->second;
+      Server s = std::next(servers.begin(), static_cast<long>(random() % servers.size()))->second;
       const auto pick = random() % 4;
       s.state = pick == 0 ? ServerState::kDraining : pick == 1 ? ServerState::kGone : ServerState::kUp;
       if (pick == 2) s.started_at = gateway.now;
-      tell(s);
+      update_server(s);
     }
-    if (chance(0.002)) feed(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
+    if (chance(0.002)) handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     std::vector<Event> events;
-    for (auto& [id, ask] : check.asks) {
-      for (std::size_t i = 0; i < ask.tries.size(); ++i) {
-        Try& t = ask.tries[i];
-        if (!t.out) continue;
-        Outcome o{id, static_cast<int>(i), t.server, Result::kServed, ask.answered, gateway.now - t.sent, {}};
-        if (gateway.now >= t.ends) {
+    for (auto& [id, request] : checker.requests) {
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        TrackedAttempt& attempt = request.attempts[i];
+        if (!attempt.in_flight) continue;
+        Outcome o{id,
+                  static_cast<int>(i),
+                  attempt.server,
+                  Result::kServed,
+                  request.is_answered,
+                  gateway.now - attempt.sent_at,
+                  {}};
+        if (gateway.now >= attempt.times_out_at) {
           o.result = Result::kTimedOut;
         } else if (!chance(0.08)) {
           continue;
-        } else if (chance(trouble)) {
+        } else if (chance(failure_probability)) {
           constexpr Result kBad[] = {Result::kError, Result::kRejected, Result::kConnectFailed,
                                      Result::kReset, Result::kNotSent,  Result::kCancelled};
           o.result = kBad[random() % 6];
         }
-        t.out = false;
-        t.unrun = o.result == Result::kRejected || o.result == Result::kConnectFailed ||
-                  o.result == Result::kNotSent;
-        if (o.result == Result::kServed) ask.answered = o.finished = true;
+        attempt.in_flight = false;
+        attempt.never_ran = o.result == Result::kRejected || o.result == Result::kConnectFailed ||
+                            o.result == Result::kNotSent;
+        if (o.result == Result::kServed) request.is_answered = o.finished = true;
         events.push_back(o);
-        if (ask.answered) break;
+        if (request.is_answered) break;
       }
-      if (!ask.answered && chance(0.0005)) events.push_back(ClientGone{id});
+      if (!request.is_answered && chance(0.0005)) events.push_back(ClientGone{id});
     }
     for (const Event& e : events) {
-      if (const auto* gone = std::get_if<ClientGone>(&e)) check.asks.at(gone->request).answered = true;
-      feed(e);
+      if (const auto* gone = std::get_if<ClientGone>(&e))
+        checker.requests.at(gone->request).is_answered = true;
+      handle(e);
     }
-    std::erase_if(check.asks, [&](const auto& entry) {
-      const Ask& ask = entry.second;
-      return ask.answered &&
-             std::none_of(ask.tries.begin(), ask.tries.end(), [](const Try& t) { return t.out; });
+    std::erase_if(checker.requests, [&](const auto& entry) {
+      const TrackedRequest& request = entry.second;
+      return request.is_answered &&
+             std::none_of(request.attempts.begin(), request.attempts.end(),
+                          [](const TrackedAttempt& attempt) { return attempt.in_flight; });
     });
-    for (const auto& [id, ask] : check.asks) {
-      ASSERT_TRUE(ask.answered || gateway.now <= ask.until + 20) << "never answered: " << id;
+    for (const auto& [id, request] : checker.requests) {
+      ASSERT_TRUE(request.is_answered || gateway.now <= request.client_deadline + 20)
+          << "never answered: " << id;
     }
   }
-  EXPECT_GT(next, 1000);
-  EXPECT_TRUE(check.asks.empty()) << check.asks.size() << " requests left over";
+  EXPECT_GT(next_id, 1000);
+  EXPECT_TRUE(checker.requests.empty()) << checker.requests.size() << " requests left over";
 }
 
 TEST(Rules, HoldUnderRandomEvents) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE(seed);
-    RandomDay(seed, seed % 2 == 0);
+    CheckRandomEvents(seed, seed % 2 == 0);
     if (HasFatalFailure()) return;
   }
 }
