--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,8 @@
-// The four rules under random events, watched by a checker that shares no code with the module.
+// Checks the module's guarantees under random events, with a checker that shares no code with the module:
+//   - each request gets exactly one final answer, at most 20 ms after its client's deadline;
+//   - attempts of a request do not overlap, do not exceed max_attempts, and go only to servers that are up;
+//   - a request that must not run twice is not sent again, nor refused, after an attempt that may have run;
+//   - retries of keyed requests stay within the deduplication scope and the repeat window.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,7 +18,7 @@
   Millis sent_at = 0;
   Millis times_out_at = 0;
   bool in_flight = true;
-  bool never_ran = false;  // proven not to have run
+  bool never_ran = false;  // known not to have run
 };
 
 struct TrackedRequest {
@@ -27,7 +31,7 @@
 struct Checker {
   const Settings& settings;
   std::map<std::string, TrackedRequest> requests;
-  std::map<std::string, Server> servers;  // as last told
+  std::map<std::string, Server> servers;  // as last reported
   std::map<std::string, bool> up;
 
   void Apply(Millis now, const std::vector<Action>& actions) {
@@ -40,8 +44,8 @@
 
   void OnSend(Millis now, const Send& send) {
     TrackedRequest& request = requests.at(send.request);
-    ASSERT_FALSE(request.is_answered) << "sent after its end: " << send.request;
-    ASSERT_TRUE(up[send.server]) << "sent to a server told to be leaving";
+    ASSERT_FALSE(request.is_answered) << "sent after its final answer: " << send.request;
+    ASSERT_TRUE(up[send.server]) << "sent to a server that is draining or removed";
     ASSERT_LT(static_cast<int>(request.attempts.size()), settings.max_attempts);
     for (const TrackedAttempt& attempt : request.attempts) {
       ASSERT_TRUE(!attempt.in_flight) << "two attempts at once";
@@ -52,8 +56,10 @@
     if (request.class_settings->effect == Effect::kKeyed) {
       for (const TrackedAttempt& attempt : request.attempts) {
         if (attempt.never_ran) continue;
-        ASSERT_EQ(servers.at(attempt.server).cell, servers.at(send.server).cell) << "left its group";
-        ASSERT_LT(now - attempt.sent_at, request.class_settings->repeat_window) << "repeat after the window";
+        ASSERT_EQ(servers.at(attempt.server).cell, servers.at(send.server).cell)
+            << "sent outside of its deduplication scope";
+        ASSERT_LT(now - attempt.sent_at, request.class_settings->repeat_window)
+            << "sent after the repeat window";
       }
     }
     request.attempts.push_back(
@@ -66,7 +72,7 @@
     ASSERT_LE(now, request.client_deadline + 20) << "answered too late: " << id;
     if (refusal && request.class_settings->effect != Effect::kSafe) {
       for (const TrackedAttempt& attempt : request.attempts)
-        ASSERT_TRUE(!attempt.in_flight && attempt.never_ran) << "refused though it may have run";
+        ASSERT_TRUE(!attempt.in_flight && attempt.never_ran) << "refused although it may have run";
     }
     request.is_answered = true;
   }
@@ -109,7 +115,7 @@
       checker.requests[r.id] = {&class_settings, gateway.now + r.time_left, {}, false};
       handle(r);
     }
-    if (chance(0.01)) {  // a server drains, leaves, or comes back as a new process
+    if (chance(0.01)) {  // a server drains, is removed, or comes back as a new process
       Server s = std::next(servers.begin(), static_cast<long>(random() % servers.size()))->second;
       const auto pick = random() % 4;
       s.state = pick == 0 ? ServerState::kDraining : pick == 1 ? ServerState::kGone : ServerState::kUp;
@@ -167,7 +173,7 @@
   EXPECT_TRUE(checker.requests.empty()) << checker.requests.size() << " requests left over";
 }
 
-TEST(Rules, HoldUnderRandomEvents) {
+TEST(Guarantees, HoldUnderRandomEvents) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE(seed);
     CheckRandomEvents(seed, seed % 2 == 0);
