--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -19,263 +19,273 @@
 namespace opalswitch::testing {
 namespace {
 
-constexpr int kGateways = 100, kHosts = 60;
-constexpr Millis kWork = 100, kTick = 10;
+constexpr int kGateways = 100, kServers = 60;
+constexpr Millis kServiceTimeMs = 100, kTickMs = 10;
 
 // Hosts answer after a while, or never if they are bad; gateways are told of a host's change 0 to 0.4 s late.
 class LargeFleet {
  public:
   explicit LargeFleet(std::uint64_t seed) : random_(seed) {
-    for (int i = 0; i < kHosts; ++i)
-      hosts_.push_back(MakeServer("h" + std::to_string(i), std::to_string(i % 3)));
-    for (int i = 0; i < kGateways; ++i) gates_.push_back(nullptr);
-    for (int i = 0; i < kGateways; ++i) Restart(i);
+    for (int i = 0; i < kServers; ++i)
+      servers_.push_back(MakeServer("h" + std::to_string(i), std::to_string(i % 3)));
+    for (int i = 0; i < kGateways; ++i) gateways_.push_back(nullptr);
+    for (int i = 0; i < kGateways; ++i) RestartGateway(i);
   }
 
-  std::vector<Server>& hosts() { return hosts_; }
-  std::set<std::string> bad;  // say nothing to half of the requests and break the others off
+  std::vector<Server>& servers() { return servers_; }
+  std::set<std::string> failing_servers;  // say nothing to half of the requests and break the others off
   std::map<std::string, std::map<int, int>> sends;  // by host and 100 ms, from all gateways
   bool reports = false;  // hosts tell their utilisation; for gateways that start from then on
-  int places = 1000;  // requests, or the connections for them, that a host holds; beyond that it turns away
-  int served = 0, twice = 0, resent = 0, full = 0, asked = 0;
+  int connections_per_server =
+      1000;  // requests, or the connections for them, that a host holds; beyond that it turns away
+  int served = 0, answered_twice = 0, unsafe_resends = 0, rejected = 0, requests = 0;
   Millis now = 100000;
 
   // A new process with the list of now and no memory; what the old one had is gone with it.
-  void Restart(int i) {
-    Settings s = MakeSettings();
-    s.gateways = kGateways;
-    s.index = i;
-    s.tenants = {{"shop", 1500}};
-    if (reports) s.load_report_fields = {"util"};
-    gates_[i] = std::make_unique<Gate>(Gate{std::make_unique<Policy>(s, ++seeds_), {}, ++lives_});
-    Tell(i, MembershipUpdate{MembershipUpdate::Kind::kFull, hosts_});
+  void RestartGateway(int i) {
+    Settings settings = MakeSettings();
+    settings.gateways = kGateways;
+    settings.index = i;
+    settings.tenants = {{"shop", 1500}};
+    if (reports) settings.load_report_fields = {"util"};
+    gateways_[i] = std::make_unique<GatewayProcess>(
+        GatewayProcess{std::make_unique<Policy>(settings, ++last_seed_), {}, ++processes_});
+    DeliverEvent(i, MembershipUpdate{MembershipUpdate::Kind::kFull, servers_});
   }
   // Another process takes over the place of the host; the old one is gone.
-  void Replace(int i) {
-    Server old = hosts_[i];
+  void ReplaceServer(int i) {
+    Server old = servers_[i];
     old.state = ServerState::kGone;
-    hosts_[i] = MakeServer("h" + std::to_string(kHosts + replaced_++), old.cell, now);
+    servers_[i] = MakeServer("h" + std::to_string(kServers + replacements_++), old.cell, now);
     for (int g = 0; g < kGateways; ++g) {
-      Later(Uniform() * 400, g, [this, g, old, fresh = hosts_[i]] {
-        Tell(g, MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, fresh}});
+      ScheduleForGateway(Uniform() * 400, g, [this, g, old, fresh = servers_[i]] {
+        DeliverEvent(g, MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, fresh}});
       });
     }
   }
   // `per_s` requests a second over all gateways.
   void Run(Millis time, double per_s) {
-    for (const Millis until = now + time; now < until; now += kTick) {
-      while (!due_.empty() && due_.begin()->first <= now) {
-        const auto what = std::move(due_.begin()->second);
-        due_.erase(due_.begin());
-        what();
+    for (const Millis until = now + time; now < until; now += kTickMs) {
+      while (!scheduled_.empty() && scheduled_.begin()->first <= now) {
+        const auto callback = std::move(scheduled_.begin()->second);
+        scheduled_.erase(scheduled_.begin());
+        callback();
       }
-      for (due_requests_ += per_s * kTick / 1000; due_requests_ >= 1; --due_requests_) Ask();
-      for (int g = 0; g < kGateways; ++g) Do(g, TimerDue{"sweep"});
+      for (pending_requests_ += per_s * kTickMs / 1000; pending_requests_ >= 1; --pending_requests_)
+        SendRequest();
+      for (int g = 0; g < kGateways; ++g) DeliverEvent(g, TimerDue{"sweep"});
     }
   }
   // Lets all that is out end; nobody may be left.
-  std::size_t Left() {
+  std::size_t DrainAndCountOpenRequests() {
     Run(4000, 0);
     std::size_t left = 0;
-    for (const auto& gate : gates_) left += gate->open.size();
+    for (const auto& gateway : gateways_) left += gateway->open_requests.size();
     return left;
   }
-  int Sent(const std::string& host, Millis from, Millis to) {
+  int RequestsSentTo(const std::string& server, Millis from, Millis to) {
     int sum = 0;
-    for (const auto& [slot, n] : sends[host]) sum += slot * 100 >= from && slot * 100 < to ? n : 0;
+    for (const auto& [slot, n] : sends[server]) sum += slot * 100 >= from && slot * 100 < to ? n : 0;
     return sum;
   }
 
  private:
-  struct Flow {
+  struct OpenRequest {
     bool is_unsafe = false;
     std::vector<bool> may_have_run;
   };
-  struct Gate {
+  struct GatewayProcess {
     std::unique_ptr<Policy> policy;
-    std::map<std::string, Flow> open;
-    int life = 0;
+    std::map<std::string, OpenRequest> open_requests;
+    int process_id = 0;
   };
 
   double Uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
-  void Later(Millis after, int g, std::function<void()> what) {
-    due_.emplace(now + after, [this, g, life = gates_[g]->life, what = std::move(what)] {
-      if (gates_[g]->life == life) what();
-    });
+  void ScheduleForGateway(Millis after, int g, std::function<void()> callback) {
+    scheduled_.emplace(now + after,
+                       [this, g, process_id = gateways_[g]->process_id, callback = std::move(callback)] {
+                         if (gateways_[g]->process_id == process_id) callback();
+                       });
   }
-  void Tell(int g, const MembershipUpdate& news) { Do(g, news); }
-  void Ask() {
+  void SendRequest() {
     const int g = static_cast<int>(random_() % kGateways);
-    Request r;
-    r.id = "r" + std::to_string(++asked);
-    r.class_name = asked % 3 == 0 ? "pay" : "view";
-    r.tenant = "shop";
-    r.time_left = 2000;
-    gates_[g]->open[r.id].is_unsafe = asked % 3 == 0;
-    Do(g, r);
+    Request request;
+    request.id = "r" + std::to_string(++requests);
+    request.class_name = requests % 3 == 0 ? "pay" : "view";
+    request.tenant = "shop";
+    request.time_left = 2000;
+    gateways_[g]->open_requests[request.id].is_unsafe = requests % 3 == 0;
+    DeliverEvent(g, request);
   }
-  void Do(int g, const Event& event) {
+  void DeliverEvent(int g, const Event& event) {
     std::vector<Action> actions;
-    gates_[g]->policy->Handle(now, event, actions);
+    gateways_[g]->policy->Handle(now, event, actions);
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) Sent(g, *send);
-      if (const auto* refuse = std::get_if<Refuse>(&a)) Answer(g, refuse->request);
-      if (const auto* fail = std::get_if<Fail>(&a)) Answer(g, fail->request);
+      if (const auto* send = std::get_if<Send>(&a)) HandleSend(g, *send);
+      if (const auto* refuse = std::get_if<Refuse>(&a)) RecordFinalAnswer(g, refuse->request);
+      if (const auto* fail = std::get_if<Fail>(&a)) RecordFinalAnswer(g, fail->request);
     }
   }
-  void Answer(int g, const std::string& id) { twice += gates_[g]->open.erase(id) == 0; }
-  void Sent(int g, const Send& send) {
+  void RecordFinalAnswer(int g, const std::string& id) {
+    answered_twice += gateways_[g]->open_requests.erase(id) == 0;
+  }
+  void HandleSend(int g, const Send& send) {
     ++sends[send.server][static_cast<int>(now / 100)];
-    Flow& flow = gates_[g]->open.at(send.request);
-    const bool ran =
-        std::find(flow.may_have_run.begin(), flow.may_have_run.end(), true) != flow.may_have_run.end();
-    resent += flow.is_unsafe && ran;
-    const int attempt = static_cast<int>(flow.may_have_run.size());
-    const bool gone =
-        std::none_of(hosts_.begin(), hosts_.end(), [&](const Server& s) { return s.id == send.server; });
-    const bool breaks = bad.contains(send.server) && random_() % 2 == 0;
-    if (!gone && held_[send.server] >= places) {
-      ++full;
-      flow.may_have_run.push_back(false);
-      return Later(1, g, [this, g, send, attempt] {
-        if (!gates_[g]->open.contains(send.request)) return;
-        Do(g, Outcome{send.request, attempt, send.server, Result::kRejected, false, 1, {}});
+    OpenRequest& request = gateways_[g]->open_requests.at(send.request);
+    const bool may_have_run = std::find(request.may_have_run.begin(), request.may_have_run.end(), true) !=
+                              request.may_have_run.end();
+    unsafe_resends += request.is_unsafe && may_have_run;
+    const int attempt = static_cast<int>(request.may_have_run.size());
+    const bool is_removed =
+        std::none_of(servers_.begin(), servers_.end(), [&](const Server& s) { return s.id == send.server; });
+    const bool is_reset = failing_servers.contains(send.server) && random_() % 2 == 0;
+    if (!is_removed && in_flight_[send.server] >= connections_per_server) {
+      ++rejected;
+      request.may_have_run.push_back(false);
+      return ScheduleForGateway(1, g, [this, g, send, attempt] {
+        if (!gateways_[g]->open_requests.contains(send.request)) return;
+        DeliverEvent(g, Outcome{send.request, attempt, send.server, Result::kRejected, false, 1, {}});
       });
     }
-    const Result result = gone                        ? Result::kConnectFailed
-                          : breaks                    ? Result::kReset
-                          : bad.contains(send.server) ? Result::kTimedOut
-                                                      : Result::kServed;
-    flow.may_have_run.push_back(!gone);
-    const Millis took = gone                        ? 1
-                        : breaks                    ? 20
-                        : bad.contains(send.server) ? send.timeout
-                                                    : kWork * (0.5 + Uniform());
-    ++held_[send.server];
-    due_.emplace(now + took, [this, host = send.server] { --held_[host]; });
-    Later(took, g, [this, g, send, attempt, result, took] {
-      if (!gates_[g]->open.contains(send.request)) return;
-      if (result == Result::kServed) ++served, Answer(g, send.request);
+    const Result result = is_removed                              ? Result::kConnectFailed
+                          : is_reset                              ? Result::kReset
+                          : failing_servers.contains(send.server) ? Result::kTimedOut
+                                                                  : Result::kServed;
+    request.may_have_run.push_back(!is_removed);
+    const Millis latency = is_removed                              ? 1
+                           : is_reset                              ? 20
+                           : failing_servers.contains(send.server) ? send.timeout
+                                                                   : kServiceTimeMs * (0.5 + Uniform());
+    ++in_flight_[send.server];
+    scheduled_.emplace(now + latency, [this, server = send.server] { --in_flight_[server]; });
+    ScheduleForGateway(latency, g, [this, g, send, attempt, result, latency] {
+      if (!gateways_[g]->open_requests.contains(send.request)) return;
+      if (result == Result::kServed) ++served, RecordFinalAnswer(g, send.request);
       std::vector<double> load;
-      if (reports && result == Result::kServed) load = {std::min(1.0, 1.0 * held_[send.server] / places)};
-      Do(g, Outcome{send.request, attempt, send.server, result, result == Result::kServed, took, load});
+      if (reports && result == Result::kServed)
+        load = {std::min(1.0, 1.0 * in_flight_[send.server] / connections_per_server)};
+      DeliverEvent(
+          g, Outcome{send.request, attempt, send.server, result, result == Result::kServed, latency, load});
     });
   }
 
   std::mt19937_64 random_;
-  std::vector<Server> hosts_;
-  std::vector<std::unique_ptr<Gate>> gates_;
-  std::multimap<Millis, std::function<void()>> due_;
-  double due_requests_ = 0;
-  std::map<std::string, int> held_;  // by host
-  int replaced_ = 0, lives_ = 0;
-  std::uint64_t seeds_ = 0;
+  std::vector<Server> servers_;
+  std::vector<std::unique_ptr<GatewayProcess>> gateways_;
+  std::multimap<Millis, std::function<void()>> scheduled_;
+  double pending_requests_ = 0;
+  std::map<std::string, int> in_flight_;  // by host
+  int replacements_ = 0, processes_ = 0;
+  std::uint64_t last_seed_ = 0;
 };
 
-void ExpectRules(LargeFleet& fleet) {
-  EXPECT_EQ(fleet.Left(), 0u) << "requests without an answer";
-  EXPECT_EQ(fleet.twice, 0) << "answered twice";
-  EXPECT_EQ(fleet.resent, 0) << "requests that may not run twice were sent again";
+void ExpectGuarantees(LargeFleet& fleet) {
+  EXPECT_EQ(fleet.DrainAndCountOpenRequests(), 0u) << "requests without an answer";
+  EXPECT_EQ(fleet.answered_twice, 0) << "answered twice";
+  EXPECT_EQ(fleet.unsafe_resends, 0) << "requests that may not run twice were sent again";
 }
 
 TEST(LargeFleet, AHundredGatewaysThatStartTogetherSendNoHostMoreThanItsPart) {
   LargeFleet fleet(1);
   const Millis start = fleet.now;
   fleet.Run(1000, 1200);
-  int most = 0;
-  for (const auto& host : fleet.hosts()) most = std::max(most, fleet.Sent(host.id, start, start + 1000));
+  int max_count = 0;
+  for (const auto& server : fleet.servers())
+    max_count = std::max(max_count, fleet.RequestsSentTo(server.id, start, start + 1000));
   EXPECT_GT(fleet.served, 500);
-  EXPECT_LE(most, 45);  // of 20 in the mean; 29 seen
-  ExpectRules(fleet);
+  EXPECT_LE(max_count, 45);  // of 20 in the mean; 29 seen
+  ExpectGuarantees(fleet);
 }
 
 // `kill`: most gateways are killed in the middle, and begin anew with the list of that moment.
-void SixInTenReplaced(bool kill) {
+void ReplaceMostServers(bool restart_gateways) {
   LargeFleet fleet(2);
   fleet.Run(6000, 900);
-  for (int i = 0; i < kHosts; i += 5) fleet.bad.insert(fleet.hosts()[i].id);
-  std::vector<std::pair<std::string, Millis>> fresh;
-  for (int n = 0; n < kHosts * 6 / 10; ++n) {
-    fleet.Replace((n * 7) % kHosts);
-    fresh.push_back({fleet.hosts()[(n * 7) % kHosts].id, fleet.now});
-    if (kill && n == 18) {
-      for (int g = 0; g < kGateways * 7 / 10; ++g) fleet.Restart(g);
+  for (int i = 0; i < kServers; i += 5) fleet.failing_servers.insert(fleet.servers()[i].id);
+  std::vector<std::pair<std::string, Millis>> started;
+  for (int n = 0; n < kServers * 6 / 10; ++n) {
+    fleet.ReplaceServer((n * 7) % kServers);
+    started.push_back({fleet.servers()[(n * 7) % kServers].id, fleet.now});
+    if (restart_gateways && n == 18) {
+      for (int g = 0; g < kGateways * 7 / 10; ++g) fleet.RestartGateway(g);
     }
     fleet.Run(200, 900);
   }
   const Millis end = fleet.now;
-  int cold = 0;
-  for (const auto& [id, since] : fresh) cold += fleet.Sent(id, since, since + 1000);
+  int sent_to_cold = 0;
+  for (const auto& [id, since] : started) sent_to_cold += fleet.RequestsSentTo(id, since, since + 1000);
   const int before = fleet.served;
   fleet.Run(3000, 900);
-  const double usual = 900.0 / kHosts;  // a second
+  const double usual = 900.0 / kServers;  // a second
   // 0.2 of its capacity is what a new host can surely do, and 0.4 of what fells it what it may be sent. To
   // leave it idle crushes the others: a gateway sends to a few hosts only, and those few have the part of all
   // to send.
-  EXPECT_LE(cold / 36.0, 0.3 * usual) << "to the mean new host in its first second";
-  EXPECT_GE(cold / 36.0, 0.05 * usual) << "to the mean new host in its first second";
+  EXPECT_LE(sent_to_cold / 36.0, 0.3 * usual) << "to the mean new host in its first second";
+  EXPECT_GE(sent_to_cold / 36.0, 0.05 * usual) << "to the mean new host in its first second";
   EXPECT_GT(fleet.served - before, 0.7 * 2700) << "of what came in the 3 s after " << end;
-  ExpectRules(fleet);
+  ExpectGuarantees(fleet);
 }
 
-TEST(LargeFleet, SixInTenHostsReplacedWhileOneInFiveIsBad) { SixInTenReplaced(false); }
-TEST(LargeFleet, SixInTenHostsReplacedWhileMostGatewaysAreKilled) { SixInTenReplaced(true); }
+TEST(LargeFleet, SixInTenHostsReplacedWhileOneInFiveIsBad) { ReplaceMostServers(false); }
+TEST(LargeFleet, SixInTenHostsReplacedWhileMostGatewaysAreKilled) { ReplaceMostServers(true); }
 
 // A hundred gateways and hosts that hold three connections each: who finds one full goes elsewhere, and does
 // not take it for dead.
 TEST(LargeFleet, HostsThatHoldFewerConnectionsThanThereAreGatewaysAreNeitherStormedNorShunned) {
   LargeFleet fleet(4);
-  fleet.places = 3;
+  fleet.connections_per_server = 3;
   fleet.reports = true;
-  for (int g = 0; g < kGateways; ++g) fleet.Restart(g);
+  for (int g = 0; g < kGateways; ++g) fleet.RestartGateway(g);
   fleet.Run(4000, 900);
-  fleet.full = fleet.served = fleet.asked = 0;
+  fleet.rejected = fleet.served = fleet.requests = 0;
   const Millis from = fleet.now;
   fleet.Run(6000, 900);
-  EXPECT_GT(fleet.served, 0.9 * fleet.asked);
-  EXPECT_GT(fleet.full, 0);  // else nothing is shown
-  EXPECT_LT(fleet.full, 0.3 * fleet.asked);
-  const double mean = fleet.asked / static_cast<double>(kHosts);
-  for (const auto& host : fleet.hosts()) {
-    EXPECT_GT(fleet.Sent(host.id, from, fleet.now), 0.3 * mean) << host.id;
-    EXPECT_LT(fleet.Sent(host.id, from, fleet.now), 3 * mean) << host.id;
+  EXPECT_GT(fleet.served, 0.9 * fleet.requests);
+  EXPECT_GT(fleet.rejected, 0);  // else nothing is shown
+  EXPECT_LT(fleet.rejected, 0.3 * fleet.requests);
+  const double mean = fleet.requests / static_cast<double>(kServers);
+  for (const auto& server : fleet.servers()) {
+    EXPECT_GT(fleet.RequestsSentTo(server.id, from, fleet.now), 0.3 * mean) << server.id;
+    EXPECT_LT(fleet.RequestsSentTo(server.id, from, fleet.now), 3 * mean) << server.id;
   }
-  ExpectRules(fleet);
+  ExpectGuarantees(fleet);
 }
 
 // A third of the hosts falls silent and comes back as new processes.
-void ZoneLost(bool kill) {
+void LoseAndRestoreZone(bool restart_gateways) {
   LargeFleet fleet(3);
   fleet.Run(6000, 700);
-  for (int i = 0; i < kHosts; i += 3) fleet.bad.insert(fleet.hosts()[i].id);
+  for (int i = 0; i < kServers; i += 3) fleet.failing_servers.insert(fleet.servers()[i].id);
   fleet.Run(2000, 700);
-  if (kill) {
-    for (int g = 0; g < kGateways * 7 / 10; ++g) fleet.Restart(g);
+  if (restart_gateways) {
+    for (int g = 0; g < kGateways * 7 / 10; ++g) fleet.RestartGateway(g);
   }
   fleet.Run(2000, 700);
   int before = fleet.served;
   fleet.Run(2000, 700);
   EXPECT_GT(fleet.served - before, 0.6 * 1400) << "while the zone is away";
   const Millis back = fleet.now;
-  int cold = 0;
-  for (int i = 0; i < kHosts; i += 3) fleet.Replace(i);
+  int sent_to_cold = 0;
+  for (int i = 0; i < kServers; i += 3) fleet.ReplaceServer(i);
   fleet.Run(1000, 700);
-  for (int i = 0; i < kHosts; i += 3) cold += fleet.Sent(fleet.hosts()[i].id, back, back + 1000);
-  EXPECT_LE(cold / 20.0, 0.3 * 700 / kHosts) << "to the mean host that is back, in its first second";
+  for (int i = 0; i < kServers; i += 3)
+    sent_to_cold += fleet.RequestsSentTo(fleet.servers()[i].id, back, back + 1000);
+  EXPECT_LE(sent_to_cold / 20.0, 0.3 * 700 / kServers)
+      << "to the mean host that is back, in its first second";
   fleet.Run(2000, 700);
   before = fleet.served;
   fleet.Run(3000, 700);
   EXPECT_GT(fleet.served - before, 0.8 * 2100) << "after it is back";
-  ExpectRules(fleet);
+  ExpectGuarantees(fleet);
 }
 
-TEST(LargeFleet, AZoneLostAndBackCold) { ZoneLost(false); }
-TEST(LargeFleet, AZoneLostAndBackColdWhileMostGatewaysAreKilled) { ZoneLost(true); }
+TEST(LargeFleet, AZoneLostAndBackCold) { LoseAndRestoreZone(false); }
+TEST(LargeFleet, AZoneLostAndBackColdWhileMostGatewaysAreKilled) { LoseAndRestoreZone(true); }
 
 // A hundred gateways that know the hosts and must ask for the list: when they ask, in ms since the start,
 // over 30 s. `answers`: whether the list service does; else each call fails after 2 s.
-std::vector<std::vector<Millis>> AsksOfAHundred(bool answers) {
-  std::vector<std::vector<Millis>> asks(kGateways);
+std::vector<std::vector<Millis>> WatchTimesOfAllGateways(bool source_responds) {
+  std::vector<std::vector<Millis>> watch_times(kGateways);
   for (int i = 0; i < kGateways; ++i) {
     Settings settings = MakeSettings();
     settings.gateways = kGateways;
@@ -283,102 +293,104 @@
     settings.requires_watch = true;
     FakeGateway gateway(settings, static_cast<std::uint64_t>(i) + 1);
     const Millis start = gateway.now;
-    gateway.SetServerCount(kHosts);
+    gateway.SetServerCount(kServers);
     Millis fails_at = 1e300;
     while (gateway.now < start + 30000) {
       for (const Action& a : gateway.AdvanceTime(10)) {
         if (!std::holds_alternative<Watch>(a)) continue;
-        asks[i].push_back(gateway.now - start);
-        if (!answers) fails_at = gateway.now + 2000;
+        watch_times[i].push_back(gateway.now - start);
+        if (!source_responds) fails_at = gateway.now + 2000;
       }
       if (gateway.now < fails_at) continue;
       fails_at = 1e300;
       gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     }
   }
-  return asks;
+  return watch_times;
 }
 
 // Most calls that come within any `window` ms.
-int MostWithin(const std::vector<std::vector<Millis>>& asks, Millis window) {
+int MaxCountWithin(const std::vector<std::vector<Millis>>& watch_times, Millis window) {
   std::vector<Millis> all;
-  for (const auto& one : asks) all.insert(all.end(), one.begin(), one.end());
+  for (const auto& times : watch_times) all.insert(all.end(), times.begin(), times.end());
   std::sort(all.begin(), all.end());
-  int most = 0;
+  int max_count = 0;
   for (std::size_t from = 0, to = 0; to < all.size(); ++to) {
     while (all[to] - all[from] > window) ++from;
-    most = std::max(most, static_cast<int>(to - from) + 1);
+    max_count = std::max(max_count, static_cast<int>(to - from) + 1);
   }
-  return most;
+  return max_count;
 }
 
 // Guards the service of the list against a line so full that whoever stands in it is answered too late: seen
 // were 39 answers to 877 calls.
 TEST(LargeFleet, AHundredGatewaysThatStartTogetherAskForTheListInTurns) {
-  const auto asks = AsksOfAHundred(true);
-  for (const auto& one : asks) {
-    ASSERT_EQ(one.size(), 1u);
-    EXPECT_LE(one[0], 5000);
+  const auto watch_times = WatchTimesOfAllGateways(true);
+  for (const auto& times : watch_times) {
+    ASSERT_EQ(times.size(), 1u);
+    EXPECT_LE(times[0], 5000);
   }
-  EXPECT_LE(MostWithin(asks, 1000), 35);  // 20 in the mean
+  EXPECT_LE(MaxCountWithin(watch_times, 1000), 35);  // 20 in the mean
 }
 
 TEST(LargeFleet, CallsForTheListThatFailAreMadeAgainInTurnsAndWithinTheTimeAllowed) {
-  const auto asks = AsksOfAHundred(false);
-  for (const auto& one : asks) {
-    ASSERT_GE(one.size(), 3u);
-    for (std::size_t n = 1; n < one.size(); ++n) EXPECT_LE(one[n] - one[n - 1], 10000) << n;
+  const auto watch_times = WatchTimesOfAllGateways(false);
+  for (const auto& times : watch_times) {
+    ASSERT_GE(times.size(), 3u);
+    for (std::size_t n = 1; n < times.size(); ++n) EXPECT_LE(times[n] - times[n - 1], 10000) << n;
   }
-  EXPECT_LE(MostWithin(asks, 1000), 35);
+  EXPECT_LE(MaxCountWithin(watch_times, 1000), 35);
 }
 
 // How many requests each host got in the last 5 s of 15 from one gateway of a hundred that is asked for more
 // than it may send: hosts answer after 100 ms and report `busy`, or never answer where that is above 1.
-std::map<std::string, int> SentByReport(const std::function<double(const std::string&)>& busy) {
+std::map<std::string, int> RequestsSentByUtilization(
+    const std::function<double(const std::string&)>& utilization) {
   Settings settings = MakeSettings();
   settings.gateways = kGateways;
   settings.index = 0;
   settings.tenants = {{"shop", 4000}};
   settings.load_report_fields = {"util"};
   FakeGateway gateway(settings);
-  gateway.SetServerCount(kHosts);
-  struct Out {
+  gateway.SetServerCount(kServers);
+  struct InFlight {
     Send send;
     Millis at;
   };
-  std::deque<Out> out;
-  std::map<std::string, int> sends;
+  std::deque<InFlight> in_flight;
+  std::map<std::string, int> sent_by_server;
   const Millis start = gateway.now;
   for (int n = 0; gateway.now < start + 15000; ++n) {
     if (n % 3 == 0) gateway.SendRequest("r" + std::to_string(n), "view", 400, "shop");
     gateway.AdvanceTime(10);
     for (const Send& send : gateway.sent) {
-      out.push_back({send, gateway.now});
-      if (gateway.now >= start + 10000) ++sends[send.server];
+      in_flight.push_back({send, gateway.now});
+      if (gateway.now >= start + 10000) ++sent_by_server[send.server];
     }
     gateway.sent.clear();
-    std::deque<Out> left;
-    for (const Out& o : std::exchange(out, {})) {
-      const double load = busy(o.send.server);
-      const Millis took = load > 1 ? o.send.timeout : 100;
-      if (gateway.now - o.at < took) {
-        left.push_back(o);
+    std::deque<InFlight> left;
+    for (const InFlight& attempt : std::exchange(in_flight, {})) {
+      const double load = utilization(attempt.send.server);
+      const Millis latency = load > 1 ? attempt.send.timeout : 100;
+      if (gateway.now - attempt.at < latency) {
+        left.push_back(attempt);
         continue;
       }
       const Result result = load > 1 ? Result::kTimedOut : Result::kServed;
       const std::vector<double> report = load > 1 ? std::vector<double>{} : std::vector<double>{load};
-      gateway.HandleEvent(Outcome{o.send.request, 0, o.send.server, result, load <= 1, took, report});
+      gateway.HandleEvent(
+          Outcome{attempt.send.request, 0, attempt.send.server, result, load <= 1, latency, report});
     }
-    out.insert(out.begin(), left.begin(), left.end());
+    in_flight.insert(in_flight.begin(), left.begin(), left.end());
   }
-  return sends;
+  return sent_by_server;
 }
 
 // Guards hosts that each gateway sends little: where a hundred do, only their reports tell what it adds up
 // to.
 TEST(LargeFleet, HostsThatReportThemselvesBusyAreSentLessByEachGateway) {
-  const auto idle = SentByReport([](const std::string&) { return 0.3; });
-  const auto crowded = SentByReport([](const std::string&) { return 0.95; });
+  const auto idle = RequestsSentByUtilization([](const std::string&) { return 0.3; });
+  const auto crowded = RequestsSentByUtilization([](const std::string&) { return 0.95; });
   int all_idle = 0, all_crowded = 0;
   for (const auto& [id, n] : idle) all_idle += n;
   for (const auto& [id, n] : crowded) all_crowded += n;
@@ -390,7 +402,7 @@
 TEST(LargeFleet, WhatOneHostCanNotTakeGoesToThoseThatReportRoom) {
   const auto half = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
   int busy = 0, idle = 0;
-  for (const auto& [id, n] : SentByReport(half)) (half(id) > 0.5 ? busy : idle) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(half)) (half(id) > 0.5 ? busy : idle) += n;
   EXPECT_GE(idle, 80);
   EXPECT_LE(busy, idle / 5);
 }
@@ -398,7 +410,7 @@
 TEST(LargeFleet, HostsThatSayNothingInTimeAreSentLessThoughNobodyReports) {
   const auto silent = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
   int lost = 0, served = 0;
-  for (const auto& [id, n] : SentByReport(silent)) (silent(id) > 1 ? lost : served) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(silent)) (silent(id) > 1 ? lost : served) += n;
   EXPECT_LE(lost, served / 3);  // trials of suspects among them
 }
 
@@ -407,15 +419,15 @@
   Settings settings = MakeSettings();
   settings.gateways = kGateways;
   FakeGateway gateway(settings, 7);
-  std::vector<Server> hosts;
-  for (int i = 0; i < kHosts; ++i) hosts.push_back(MakeServer("h" + std::to_string(i)));
-  gateway.SetServers(hosts);
+  std::vector<Server> servers;
+  for (int i = 0; i < kServers; ++i) servers.push_back(MakeServer("h" + std::to_string(i)));
+  gateway.SetServers(servers);
   std::size_t at_start = 0;
   for (int n = 0; n < 7200; ++n) {
-    Server old = hosts[n % kHosts];
+    Server old = servers[n % kServers];
     old.state = ServerState::kGone;
-    hosts[n % kHosts] = MakeServer("h" + std::to_string(kHosts + n), "0", gateway.now);
-    gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, hosts[n % kHosts]}});
+    servers[n % kServers] = MakeServer("h" + std::to_string(kServers + n), "0", gateway.now);
+    gateway.HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kDelta, {old, servers[n % kServers]}});
     const std::string id = "r" + std::to_string(n), to = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     gateway.now += 500;
     gateway.HandleEvent(TimerDue{"sweep"});
@@ -423,7 +435,7 @@
     gateway.sent.clear();
     if (n == 600) at_start = mallinfo2().uordblks;
   }
-  EXPECT_EQ(gateway.policy.ServerStatuses().size(), static_cast<std::size_t>(kHosts));
+  EXPECT_EQ(gateway.policy.ServerStatuses().size(), static_cast<std::size_t>(kServers));
   EXPECT_LE(mallinfo2().uordblks, at_start + 64 * 1024);  // both 0 under a sanitizer's allocator
 }
 
