--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,6 +1,6 @@
-// A hundred gateways that can't talk to one another, and sixty hosts, on one clock: what is fine at one
-// gateway must not add up to harm. Each case also says that no request is lost and that none that may not run
-// twice does.
+// A hundred gateways that do not communicate, and sixty servers, in simulated time: decisions that are
+// harmless at one gateway must not add up to an overload or an outage. All cases also check that no request
+// is lost, and that none that must not run twice is sent again.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -22,7 +22,8 @@
 constexpr int kGateways = 100, kServers = 60;
 constexpr Millis kServiceTimeMs = 100, kTickMs = 10;
 
-// Hosts answer after a while, or never if they are bad; gateways are told of a host's change 0 to 0.4 s late.
+// Servers respond after their service time unless they are failing. Membership updates reach the gateways
+// with delays between 0 and 0.4 s.
 class LargeFleet {
  public:
   explicit LargeFleet(std::uint64_t seed) : random_(seed) {
@@ -33,15 +34,15 @@
   }
 
   std::vector<Server>& servers() { return servers_; }
-  std::set<std::string> failing_servers;  // say nothing to half of the requests and break the others off
-  std::map<std::string, std::map<int, int>> sends;  // by host and 100 ms, from all gateways
-  bool reports = false;  // hosts tell their utilisation; for gateways that start from then on
-  int connections_per_server =
-      1000;  // requests, or the connections for them, that a host holds; beyond that it turns away
+  std::set<std::string> failing_servers;            // reset half of the requests and let the others time out
+  std::map<std::string, std::map<int, int>> sends;  // requests by server and 100 ms interval, of all gateways
+  bool reports = false;  // servers report utilization; applies to gateways that are started afterwards
+  int connections_per_server = 1000;  // a server rejects requests beyond this
   int served = 0, answered_twice = 0, unsafe_resends = 0, rejected = 0, requests = 0;
   Millis now = 100000;
 
-  // A new process with the list of now and no memory; what the old one had is gone with it.
+  // Starts a new process with the current server list and no other state; requests of the old one are
+  // dropped.
   void RestartGateway(int i) {
     Settings settings = MakeSettings();
     settings.gateways = kGateways;
@@ -52,7 +53,7 @@
         GatewayProcess{std::make_unique<Policy>(settings, ++last_seed_), {}, ++processes_});
     DeliverEvent(i, MembershipUpdate{MembershipUpdate::Kind::kFull, servers_});
   }
-  // Another process takes over the place of the host; the old one is gone.
+  // Removes a server and starts a new, cold one in its place.
   void ReplaceServer(int i) {
     Server old = servers_[i];
     old.state = ServerState::kGone;
@@ -63,7 +64,7 @@
       });
     }
   }
-  // `per_s` requests a second over all gateways.
+  // Advances the clock by `time`, with `per_s` requests per second over all gateways.
   void Run(Millis time, double per_s) {
     for (const Millis until = now + time; now < until; now += kTickMs) {
       while (!scheduled_.empty() && scheduled_.begin()->first <= now) {
@@ -76,7 +77,7 @@
       for (int g = 0; g < kGateways; ++g) DeliverEvent(g, TimerDue{"sweep"});
     }
   }
-  // Lets all that is out end; nobody may be left.
+  // Runs without new requests until all should have ended. Returns the number that have no final answer.
   std::size_t DrainAndCountOpenRequests() {
     Run(4000, 0);
     std::size_t left = 0;
@@ -101,6 +102,7 @@
   };
 
   double Uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
+  // Calls `callback` after a delay, unless the gateway is restarted before.
   void ScheduleForGateway(Millis after, int g, std::function<void()> callback) {
     scheduled_.emplace(now + after,
                        [this, g, process_id = gateways_[g]->process_id, callback = std::move(callback)] {
@@ -174,18 +176,18 @@
   std::vector<std::unique_ptr<GatewayProcess>> gateways_;
   std::multimap<Millis, std::function<void()>> scheduled_;
   double pending_requests_ = 0;
-  std::map<std::string, int> in_flight_;  // by host
+  std::map<std::string, int> in_flight_;  // by server
   int replacements_ = 0, processes_ = 0;
   std::uint64_t last_seed_ = 0;
 };
 
 void ExpectGuarantees(LargeFleet& fleet) {
-  EXPECT_EQ(fleet.DrainAndCountOpenRequests(), 0u) << "requests without an answer";
-  EXPECT_EQ(fleet.answered_twice, 0) << "answered twice";
-  EXPECT_EQ(fleet.unsafe_resends, 0) << "requests that may not run twice were sent again";
+  EXPECT_EQ(fleet.DrainAndCountOpenRequests(), 0u) << "requests without a final answer";
+  EXPECT_EQ(fleet.answered_twice, 0) << "final answers beyond the first";
+  EXPECT_EQ(fleet.unsafe_resends, 0) << "requests that must not run twice were sent again";
 }
 
-TEST(LargeFleet, AHundredGatewaysThatStartTogetherSendNoHostMoreThanItsPart) {
+TEST(LargeFleet, GatewaysThatStartAtOnceOverloadNoServer) {
   LargeFleet fleet(1);
   const Millis start = fleet.now;
   fleet.Run(1000, 1200);
@@ -193,11 +195,11 @@
   for (const auto& server : fleet.servers())
     max_count = std::max(max_count, fleet.RequestsSentTo(server.id, start, start + 1000));
   EXPECT_GT(fleet.served, 500);
-  EXPECT_LE(max_count, 45);  // of 20 in the mean; 29 seen
+  EXPECT_LE(max_count, 45);  // 20 on average; 29 observed
   ExpectGuarantees(fleet);
 }
 
-// `kill`: most gateways are killed in the middle, and begin anew with the list of that moment.
+// Replaces 60% of the servers while 20% fail. `restart_gateways`: restarts 70% of the gateways in the middle.
 void ReplaceMostServers(bool restart_gateways) {
   LargeFleet fleet(2);
   fleet.Run(6000, 900);
@@ -216,22 +218,21 @@
   for (const auto& [id, since] : started) sent_to_cold += fleet.RequestsSentTo(id, since, since + 1000);
   const int before = fleet.served;
   fleet.Run(3000, 900);
-  const double usual = 900.0 / kServers;  // a second
-  // 0.2 of its capacity is what a new host can surely do, and 0.4 of what fells it what it may be sent. To
-  // leave it idle crushes the others: a gateway sends to a few hosts only, and those few have the part of all
-  // to send.
-  EXPECT_LE(sent_to_cold / 36.0, 0.3 * usual) << "to the mean new host in its first second";
-  EXPECT_GE(sent_to_cold / 36.0, 0.05 * usual) << "to the mean new host in its first second";
-  EXPECT_GT(fleet.served - before, 0.7 * 2700) << "of what came in the 3 s after " << end;
+  const double usual = 900.0 / kServers;  // requests per second and server
+  // A new server is certain to have 0.2 of its capacity, and is sent 0.4 of the load that makes it fail. It
+  // must not be left idle either: a gateway uses a few servers only, and these would be overloaded.
+  EXPECT_LE(sent_to_cold / 36.0, 0.3 * usual) << "requests per new server in its first second";
+  EXPECT_GE(sent_to_cold / 36.0, 0.05 * usual) << "requests per new server in its first second";
+  EXPECT_GT(fleet.served - before, 0.7 * 2700) << "responses to the requests of the 3 s after " << end;
   ExpectGuarantees(fleet);
 }
 
-TEST(LargeFleet, SixInTenHostsReplacedWhileOneInFiveIsBad) { ReplaceMostServers(false); }
-TEST(LargeFleet, SixInTenHostsReplacedWhileMostGatewaysAreKilled) { ReplaceMostServers(true); }
+TEST(LargeFleet, MostServersReplacedWhileOneInFiveFails) { ReplaceMostServers(false); }
+TEST(LargeFleet, MostServersReplacedWhileMostGatewaysRestart) { ReplaceMostServers(true); }
 
-// A hundred gateways and hosts that hold three connections each: who finds one full goes elsewhere, and does
-// not take it for dead.
-TEST(LargeFleet, HostsThatHoldFewerConnectionsThanThereAreGatewaysAreNeitherStormedNorShunned) {
+// Servers accept three connections each. A gateway that is rejected by a full server must use others, and
+// must not eject it.
+TEST(LargeFleet, ServersWithFewerConnectionsThanGatewaysAreNeitherOverloadedNorAvoided) {
   LargeFleet fleet(4);
   fleet.connections_per_server = 3;
   fleet.reports = true;
@@ -241,7 +242,7 @@
   const Millis from = fleet.now;
   fleet.Run(6000, 900);
   EXPECT_GT(fleet.served, 0.9 * fleet.requests);
-  EXPECT_GT(fleet.rejected, 0);  // else nothing is shown
+  EXPECT_GT(fleet.rejected, 0);  // otherwise the case tests nothing
   EXPECT_LT(fleet.rejected, 0.3 * fleet.requests);
   const double mean = fleet.requests / static_cast<double>(kServers);
   for (const auto& server : fleet.servers()) {
@@ -251,7 +252,8 @@
   ExpectGuarantees(fleet);
 }
 
-// A third of the hosts falls silent and comes back as new processes.
+// A third of the servers fails and is replaced by cold ones. `restart_gateways`: restarts 70% of the gateways
+// meanwhile.
 void LoseAndRestoreZone(bool restart_gateways) {
   LargeFleet fleet(3);
   fleet.Run(6000, 700);
@@ -263,27 +265,26 @@
   fleet.Run(2000, 700);
   int before = fleet.served;
   fleet.Run(2000, 700);
-  EXPECT_GT(fleet.served - before, 0.6 * 1400) << "while the zone is away";
+  EXPECT_GT(fleet.served - before, 0.6 * 1400) << "while the zone is down";
   const Millis back = fleet.now;
   int sent_to_cold = 0;
   for (int i = 0; i < kServers; i += 3) fleet.ReplaceServer(i);
   fleet.Run(1000, 700);
   for (int i = 0; i < kServers; i += 3)
     sent_to_cold += fleet.RequestsSentTo(fleet.servers()[i].id, back, back + 1000);
-  EXPECT_LE(sent_to_cold / 20.0, 0.3 * 700 / kServers)
-      << "to the mean host that is back, in its first second";
+  EXPECT_LE(sent_to_cold / 20.0, 0.3 * 700 / kServers) << "requests per replaced server in its first second";
   fleet.Run(2000, 700);
   before = fleet.served;
   fleet.Run(3000, 700);
-  EXPECT_GT(fleet.served - before, 0.8 * 2100) << "after it is back";
+  EXPECT_GT(fleet.served - before, 0.8 * 2100) << "after the zone is back";
   ExpectGuarantees(fleet);
 }
 
-TEST(LargeFleet, AZoneLostAndBackCold) { LoseAndRestoreZone(false); }
-TEST(LargeFleet, AZoneLostAndBackColdWhileMostGatewaysAreKilled) { LoseAndRestoreZone(true); }
+TEST(LargeFleet, ZoneFailsAndReturnsCold) { LoseAndRestoreZone(false); }
+TEST(LargeFleet, ZoneFailsAndReturnsColdWhileMostGatewaysRestart) { LoseAndRestoreZone(true); }
 
-// A hundred gateways that know the hosts and must ask for the list: when they ask, in ms since the start,
-// over 30 s. `answers`: whether the list service does; else each call fails after 2 s.
+// Returns, by gateway, the times of its Watch actions in the 30 s after the start of all gateways, in ms.
+// `source_responds`: if false, each request to the membership source fails after 2 s.
 std::vector<std::vector<Millis>> WatchTimesOfAllGateways(bool source_responds) {
   std::vector<std::vector<Millis>> watch_times(kGateways);
   for (int i = 0; i < kGateways; ++i) {
@@ -309,7 +310,7 @@
   return watch_times;
 }
 
-// Most calls that come within any `window` ms.
+// Returns the maximum number of membership requests of all gateways in any interval of `window` ms.
 int MaxCountWithin(const std::vector<std::vector<Millis>>& watch_times, Millis window) {
   std::vector<Millis> all;
   for (const auto& times : watch_times) all.insert(all.end(), times.begin(), times.end());
@@ -322,18 +323,18 @@
   return max_count;
 }
 
-// Guards the service of the list against a line so full that whoever stands in it is answered too late: seen
-// were 39 answers to 877 calls.
-TEST(LargeFleet, AHundredGatewaysThatStartTogetherAskForTheListInTurns) {
+// Guards the membership source against a queue of requests that are all answered too late: 877 requests at
+// once got 39 responses.
+TEST(LargeFleet, GatewaysThatStartAtOnceSpreadTheirMembershipRequests) {
   const auto watch_times = WatchTimesOfAllGateways(true);
   for (const auto& times : watch_times) {
     ASSERT_EQ(times.size(), 1u);
     EXPECT_LE(times[0], 5000);
   }
-  EXPECT_LE(MaxCountWithin(watch_times, 1000), 35);  // 20 in the mean
+  EXPECT_LE(MaxCountWithin(watch_times, 1000), 35);  // 20 on average
 }
 
-TEST(LargeFleet, CallsForTheListThatFailAreMadeAgainInTurnsAndWithinTheTimeAllowed) {
+TEST(LargeFleet, FailedMembershipRequestsAreRetriedSpreadOutAndWithinMaxWatchInterval) {
   const auto watch_times = WatchTimesOfAllGateways(false);
   for (const auto& times : watch_times) {
     ASSERT_GE(times.size(), 3u);
@@ -342,8 +343,9 @@
   EXPECT_LE(MaxCountWithin(watch_times, 1000), 35);
 }
 
-// How many requests each host got in the last 5 s of 15 from one gateway of a hundred that is asked for more
-// than it may send: hosts answer after 100 ms and report `busy`, or never answer where that is above 1.
+// Returns the requests by server in the last 5 s of 15 that one of a hundred gateways sends under a load
+// above its limits. Servers respond after 100 ms and report `utilization`, or let requests time out where it
+// is above 1.
 std::map<std::string, int> RequestsSentByUtilization(
     const std::function<double(const std::string&)>& utilization) {
   Settings settings = MakeSettings();
@@ -386,20 +388,20 @@
   return sent_by_server;
 }
 
-// Guards hosts that each gateway sends little: where a hundred do, only their reports tell what it adds up
-// to.
-TEST(LargeFleet, HostsThatReportThemselvesBusyAreSentLessByEachGateway) {
+// Guards against an overload by a hundred gateways that each send little: only the servers' reports show the
+// sum.
+TEST(LargeFleet, ServersThatReportHighUtilizationAreSentLessByEachGateway) {
   const auto idle = RequestsSentByUtilization([](const std::string&) { return 0.3; });
-  const auto crowded = RequestsSentByUtilization([](const std::string&) { return 0.95; });
-  int all_idle = 0, all_crowded = 0;
+  const auto busy = RequestsSentByUtilization([](const std::string&) { return 0.95; });
+  int all_idle = 0, all_busy = 0;
   for (const auto& [id, n] : idle) all_idle += n;
-  for (const auto& [id, n] : crowded) all_crowded += n;
-  EXPECT_GE(all_idle, 100);               // of 166 asked for
-  EXPECT_LE(all_crowded, all_idle / 10);  // however high its rate, and though all is answered in time
-  EXPECT_GE(all_crowded, 1);              // never nothing: without an answer there is no report
+  for (const auto& [id, n] : busy) all_busy += n;
+  EXPECT_GE(all_idle, 100);            // of 166 requests
+  EXPECT_LE(all_busy, all_idle / 10);  // despite a sufficient rate and timely responses
+  EXPECT_GE(all_busy, 1);              // not 0: without responses there are no reports
 }
 
-TEST(LargeFleet, WhatOneHostCanNotTakeGoesToThoseThatReportRoom) {
+TEST(LargeFleet, RequestsMoveFromBusyServersToIdleOnes) {
   const auto half = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
   int busy = 0, idle = 0;
   for (const auto& [id, n] : RequestsSentByUtilization(half)) (half(id) > 0.5 ? busy : idle) += n;
@@ -407,15 +409,15 @@
   EXPECT_LE(busy, idle / 5);
 }
 
-TEST(LargeFleet, HostsThatSayNothingInTimeAreSentLessThoughNobodyReports) {
+TEST(LargeFleet, ServersThatTimeOutAreSentLessWithoutReports) {
   const auto silent = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
   int lost = 0, served = 0;
   for (const auto& [id, n] : RequestsSentByUtilization(silent)) (silent(id) > 1 ? lost : served) += n;
-  EXPECT_LE(lost, served / 3);  // trials of suspects among them
+  EXPECT_LE(lost, served / 3);  // including probes of ejected servers
 }
 
-// What is kept of hosts, requests and tenants that are long gone would show as memory that grows.
-TEST(LargeFleet, TwoHostsReplacedASecondForAnHourLeaveNothingBehind) {
+// Guards against state of removed servers and finished requests that is never freed: memory would grow.
+TEST(LargeFleet, ServersReplacedForAnHourLeaveNoStateBehind) {
   Settings settings = MakeSettings();
   settings.gateways = kGateways;
   FakeGateway gateway(settings, 7);
@@ -436,7 +438,7 @@
     if (n == 600) at_start = mallinfo2().uordblks;
   }
   EXPECT_EQ(gateway.policy.ServerStatuses().size(), static_cast<std::size_t>(kServers));
-  EXPECT_LE(mallinfo2().uordblks, at_start + 64 * 1024);  // both 0 under a sanitizer's allocator
+  EXPECT_LE(mallinfo2().uordblks, at_start + 64 * 1024);  // both are 0 with a sanitizer's allocator
 }
 
 }  // namespace
