--- a/tests/worst_days_test.cpp
+++ b/tests/worst_days_test.cpp
@@ -3,112 +3,116 @@
 // gateways' finding out.
 #include <gtest/gtest.h>
 
-#include "standins/fleet_day.hpp"
+#include "standins/fleet_simulation.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-ClassSettings MakeDayClass(const std::string& name, Effect effect, double worth, Millis aim,
-                           Millis deadline) {
-  ClassSettings c;
-  c.name = name;
-  c.effect = effect;
-  c.worth = worth;
-  c.aim = aim;
-  c.deadline = deadline;
-  return c;
+ClassSettings MakeSimulationClass(const std::string& name, Effect effect, double worth, Millis aim,
+                                  Millis deadline) {
+  ClassSettings settings;
+  settings.name = name;
+  settings.effect = effect;
+  settings.worth = worth;
+  settings.aim = aim;
+  settings.deadline = deadline;
+  return settings;
 }
 
 // Twelve hosts that do 100 requests a second each of 10 ms; 0.75 of that is asked for.
-FleetDay MakeDay(std::uint64_t seed = 5) {
-  FleetDay day(seed);
-  day.classes = {{MakeDayClass("view", Effect::kSafe, 5, 200, 500), 0.5, 8},
-                 {MakeDayClass("search", Effect::kSafe, 2, 200, 500), 0.3, 8},
-                 {MakeDayClass("pay", Effect::kUnsafe, 8, 400, 800), 0.2, 18}};
+FleetSimulation MakeSimulation(std::uint64_t seed = 5) {
+  FleetSimulation simulation(seed);
+  simulation.classes = {{MakeSimulationClass("view", Effect::kSafe, 5, 200, 500), 0.5, 8},
+                        {MakeSimulationClass("search", Effect::kSafe, 2, 200, 500), 0.3, 8},
+                        {MakeSimulationClass("pay", Effect::kUnsafe, 8, 400, 800), 0.2, 18}};
   for (int i = 0; i < 12; ++i) {
-    FleetDay::Host host;
+    FleetSimulation::Host host;
     host.id = "h" + std::to_string(i);
     host.zone = i < 6 ? "a" : "b";
-    day.hosts.push_back(host);
+    simulation.hosts.push_back(host);
   }
-  day.zones = {{"a", 0.5}, {"b", 0.5}};
-  day.per_s = 900;
-  day.list_late = 4000;
-  return day;
+  simulation.client_zones = {{"a", 0.5}, {"b", 0.5}};
+  simulation.requests_per_s = 900;
+  simulation.membership_delay = 4000;
+  return simulation;
 }
 
 // What holds on every day.
-void ExpectKept(FleetDay& day) {
-  day.End();
-  EXPECT_EQ(day.twice, 0) << "an unsafe request ran twice";
-  EXPECT_EQ(day.unanswered, 0) << "a request has no final answer";
+void ExpectGuarantees(FleetSimulation& simulation) {
+  simulation.Finish();
+  EXPECT_EQ(simulation.unsafe_reruns, 0) << "an unsafe request ran twice";
+  EXPECT_EQ(simulation.unanswered, 0) << "a request has no final answer";
 }
 
 struct Incident {
   const char* name;
-  std::function<void(FleetDay&)> begin, end;
-  double least;  // part of the worth that is served in time while it lasts, from 2 s after its beginning on
-  double after;  // and from 5 s after its end on
+  std::function<void(FleetSimulation&)> begin, end;
+  double
+      min_during;  // part of the worth that is served in time while it lasts, from 2 s after its beginning on
+  double min_after;  // and from 5 s after its end on
 };
 
 std::ostream& operator<<(std::ostream& out, const Incident& incident) { return out << incident.name; }
 
 // Silent hosts have no part in what follows; 9 of 12 can carry all but nothing more: 0.75 was asked of 12.
-const Incident kSilentQuarter{"QuarterOfHostsSilent",
-                              [](FleetDay& day) {
-                                for (int i : {0, 3, 7}) day.hosts[static_cast<std::size_t>(i)].silent = true;
-                              },
-                              [](FleetDay& day) {
-                                for (int i : {0, 3, 7}) day.Replace(day.hosts[static_cast<std::size_t>(i)]);
-                              },
-                              0.75, 0.95};
+const Incident kQuarterHung{"QuarterOfHostsSilent",
+                            [](FleetSimulation& simulation) {
+                              for (int i : {0, 3, 7})
+                                simulation.hosts[static_cast<std::size_t>(i)].is_hung = true;
+                            },
+                            [](FleetSimulation& simulation) {
+                              for (int i : {0, 3, 7})
+                                simulation.RestartHost(simulation.hosts[static_cast<std::size_t>(i)]);
+                            },
+                            0.75, 0.95};
 // All hosts do a third: 0.46 of what is asked can be done.
 const Incident kAllSlow{"AllHostsSlow",
-                        [](FleetDay& day) {
-                          for (auto& host : day.hosts) host.slow = 2.9;
+                        [](FleetSimulation& simulation) {
+                          for (auto& host : simulation.hosts) host.slowdown = 2.9;
                         },
-                        [](FleetDay& day) {
-                          for (auto& host : day.hosts) host.slow = 1;
+                        [](FleetSimulation& simulation) {
+                          for (auto& host : simulation.hosts) host.slowdown = 1;
                         },
                         0.3, 0.95};
 // Three quarters of the clients in the zone that has half of the hosts: these can carry 0.89 of it.
-const Incident kZoneOverrun{"ZoneWithMoreTrafficThanItsHostsCarry",
-                            [](FleetDay& day) {
-                              day.zones = {{"a", 0.75}, {"b", 0.25}};
-                            },
-                            [](FleetDay& day) {
-                              day.zones = {{"a", 0.5}, {"b", 0.5}};
-                            },
-                            0.9, 0.95};
+const Incident kZoneOverload{"ZoneWithMoreTrafficThanItsHostsCarry",
+                             [](FleetSimulation& simulation) {
+                               simulation.client_zones = {{"a", 0.75}, {"b", 0.25}};
+                             },
+                             [](FleetSimulation& simulation) {
+                               simulation.client_zones = {{"a", 0.5}, {"b", 0.5}};
+                             },
+                             0.9, 0.95};
 // One in fifty of a class's requests asks for thirty times the work: what is asked for is 0.87 of what there
 // is.
-const Incident kDearTail{"OneInFiftyOfAClassThirtyTimesDearer",
-                         [](FleetDay& day) {
-                           day.classes[0].dear_part = 0.02;
-                           day.classes[0].dear_times = 30;
-                         },
-                         [](FleetDay& day) { day.classes[0].dear_part = 0; }, 0.85, 0.95};
+const Incident kExpensiveTail{
+    "OneInFiftyOfAClassThirtyTimesDearer",
+    [](FleetSimulation& simulation) {
+      simulation.classes[0].expensive_fraction = 0.02;
+      simulation.classes[0].expensive_factor = 30;
+    },
+    [](FleetSimulation& simulation) { simulation.classes[0].expensive_fraction = 0; }, 0.85, 0.95};
 
 class WorstDay : public ::testing::TestWithParam<std::tuple<Incident, bool>> {};
 
 TEST_P(WorstDay, IsGotThroughAndOver) {
-  const auto& [incident, restart] = GetParam();
-  FleetDay day = MakeDay();
-  day.At(10000, [&, begin = incident.begin] { begin(day); });
-  if (restart) day.At(16000, [&] { day.Restart(0); });
-  day.At(23000, [&, end = incident.end] { end(day); });
-  day.Start();
-  day.Run(40000);
-  EXPECT_GE(day.Share(3000, 10000), 0.97) << "before";
-  EXPECT_GE(day.Share(12000, 23000), incident.least - (restart ? 0.1 : 0))
-      << "while it lasts; " << day.Words();
-  EXPECT_GE(day.Share(28000, 40000), incident.after) << "after it";
-  ExpectKept(day);
+  const auto& [incident, restart_gateway] = GetParam();
+  FleetSimulation simulation = MakeSimulation();
+  simulation.Schedule(10000, [&, begin = incident.begin] { begin(simulation); });
+  if (restart_gateway) simulation.Schedule(16000, [&] { simulation.RestartGateway(0); });
+  simulation.Schedule(23000, [&, end = incident.end] { end(simulation); });
+  simulation.Start();
+  simulation.RunUntil(40000);
+  EXPECT_GE(simulation.TimelyWorthFraction(3000, 10000), 0.97) << "before";
+  EXPECT_GE(simulation.TimelyWorthFraction(12000, 23000), incident.min_during - (restart_gateway ? 0.1 : 0))
+      << "while it lasts; " << simulation.DescribeCauses();
+  EXPECT_GE(simulation.TimelyWorthFraction(28000, 40000), incident.min_after) << "after it";
+  ExpectGuarantees(simulation);
 }
 
 INSTANTIATE_TEST_SUITE_P(Incidents, WorstDay,
-                         ::testing::Combine(::testing::Values(kSilentQuarter, kAllSlow, kZoneOverrun,
-                                                              kDearTail),
+                         ::testing::Combine(::testing::Values(kQuarterHung, kAllSlow, kZoneOverload,
+                                                              kExpensiveTail),
                                             ::testing::Bool()),
                          [](const auto& info) {
                            return std::string(std::get<0>(info.param).name) +
@@ -117,31 +121,32 @@
 
 // While some of one class's requests ask for thirty times the usual, the other classes keep what they had.
 TEST(WorstDays, OtherClassesKeepTheirPartWhereOneGetsDear) {
-  FleetDay day = MakeDay();
-  day.At(10000, [&] {
-    day.classes[0].dear_part = 0.05;
-    day.classes[0].dear_times = 30;
+  FleetSimulation simulation = MakeSimulation();
+  simulation.Schedule(10000, [&] {
+    simulation.classes[0].expensive_fraction = 0.05;
+    simulation.classes[0].expensive_factor = 30;
   });
-  day.At(30000, [&] { day.classes[0].dear_part = 0; });
-  day.Start();
-  day.Run(40000);
-  EXPECT_GE(day.Share(13000, 30000, 1), 0.75) << "search; " << day.Words();
-  EXPECT_GE(day.Share(13000, 30000, 2), 0.75) << "pay";
-  ExpectKept(day);
+  simulation.Schedule(30000, [&] { simulation.classes[0].expensive_fraction = 0; });
+  simulation.Start();
+  simulation.RunUntil(40000);
+  EXPECT_GE(simulation.TimelyWorthFraction(13000, 30000, 1), 0.75)
+      << "search; " << simulation.DescribeCauses();
+  EXPECT_GE(simulation.TimelyWorthFraction(13000, 30000, 2), 0.75) << "pay";
+  ExpectGuarantees(simulation);
 }
 
 // Hosts that choke when they hold too much for long: an overload must not choke all of them.
 TEST(WorstDays, OverloadDoesNotChokeTheFleet) {
-  FleetDay day = MakeDay();
-  day.chokes = true;
-  day.At(10000, [&] { day.per_s = 2200; });
-  day.At(20000, [&] { day.per_s = 900; });
-  day.Start();
-  day.Run(40000);
-  EXPECT_LE(day.choked_ever, 3);
-  EXPECT_GE(day.Share(12000, 20000), 0.4) << "of nearly twice what hosts can do";
-  EXPECT_GE(day.Share(25000, 40000), 0.95);
-  ExpectKept(day);
+  FleetSimulation simulation = MakeSimulation();
+  simulation.hosts_degrade = true;
+  simulation.Schedule(10000, [&] { simulation.requests_per_s = 2200; });
+  simulation.Schedule(20000, [&] { simulation.requests_per_s = 900; });
+  simulation.Start();
+  simulation.RunUntil(40000);
+  EXPECT_LE(simulation.degradations, 3);
+  EXPECT_GE(simulation.TimelyWorthFraction(12000, 20000), 0.4) << "of nearly twice what hosts can do";
+  EXPECT_GE(simulation.TimelyWorthFraction(25000, 40000), 0.95);
+  ExpectGuarantees(simulation);
 }
 
 }  // namespace
