--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -21,7 +21,7 @@
 constexpr double kKeyAffinityLatencyTolerance = 2;
 // Concurrency limits are not used where more gateways than this share a server: a limit per gateway would be
 // a fraction of a request.
-constexpr double kMaxGatewaysWithLimits = 8;
+constexpr double kMaxGatewaysForConcurrencyLimits = 8;
 // Lower bound of a server's concurrency limit, summed over all gateways.
 constexpr double kMinConcurrencyLimit = 1;
 // Smoothing factor of a server's failure rate.
@@ -83,7 +83,7 @@
   // Requests per ms that this gateway may send to a cold server.
   double ColdServerRatePerMs(const TrackedServer& server) const;
   // Whether too many gateways share each server for concurrency limits per gateway.
-  bool IsHighlyShared() const { return gateways_per_server_ > kMaxGatewaysWithLimits; }
+  bool IsHighlyShared() const { return gateways_per_server_ > kMaxGatewaysForConcurrencyLimits; }
   // Whether each gateway limits its rate to each server by the utilization that the server reports.
   bool UsesReportedBudget() const {
     return IsHighlyShared() && utilization_index_ < settings_.load_report_fields.size();
@@ -97,7 +97,7 @@
   // Adjusts the server's send budget to its utilization, reported or inferred from an outcome.
   void UpdateSendBudget(TrackedServer& server, double utilization);
   // Refills the server's send credit. Returns whether it suffices for a request; true without a send budget.
-  bool RefillSendCredit(TrackedServer& server);
+  bool RefillAndCheckSendCredit(TrackedServer& server);
   // Updates the rate of responses per server that ColdServerRatePerMs is based on.
   void UpdateReferenceRate(Millis elapsed);
 
--- a/src/module/limits.cpp
+++ b/src/module/limits.cpp
@@ -34,11 +34,11 @@
 
 bool Policy::Impl::CanTakeRequest(TrackedServer& server, bool within_quota) {
   // A limit per gateway would be a fraction of a request here, and learned from very few samples.
-  if (IsHighlyShared()) return RefillSendCredit(server);
+  if (IsHighlyShared()) return RefillAndCheckSendCredit(server);
   if (now_ < server.backoff_until) return false;
   const double limit_fraction =
       within_quota || server.kind_stats->utilization < kMaxUtilizationForSurplus ? 1 : kSurplusLimitFraction;
-  return server.in_flight < server.concurrency_slots * limit_fraction && RefillSendCredit(server);
+  return server.in_flight < server.concurrency_slots * limit_fraction && RefillAndCheckSendCredit(server);
 }
 
 double Policy::Impl::ExcessUtilization(const TrackedServer& server) const {
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -94,11 +94,11 @@
     subset_update_pending_ = true;
     return UpdateServerIndex(*changed);
   }
-  const bool was_highly_shared = gateways_per_server_ > kMaxGatewaysWithLimits;
+  const bool was_highly_shared = gateways_per_server_ > kMaxGatewaysForConcurrencyLimits;
   gateways_per_server_ =
       std::max(1.0, settings_.gateways * std::min(1.0, subset_size / std::max(1.0, servers_up)));
   if (use_all && uses_all_servers_ && changed != nullptr &&
-      was_highly_shared == (gateways_per_server_ > kMaxGatewaysWithLimits)) {
+      was_highly_shared == (gateways_per_server_ > kMaxGatewaysForConcurrencyLimits)) {
     changed->in_subset = changed->is_up;
     return UpdateServerIndex(*changed);
   }
--- a/src/module/outliers.cpp
+++ b/src/module/outliers.cpp
@@ -112,16 +112,16 @@
       now_ - server.last_success_at > kRestartSilenceMs)
     server.may_have_restarted = true;
   // A time-out while the server answered other requests is caused by the request, not by the server.
-  const bool is_slow_request =
+  const bool is_excused_timeout =
       outcome.result == Result::kTimedOut &&
       (server.last_success_at > now_ - outcome.latency || HadTooLittleTime(request, outcome));
   if (is_served) server.last_success_at = now_;
   if (outcome.result == Result::kTimedOut && !HadTooLittleTime(request, outcome))
     UpdateSendBudget(server, kMaxUtilization);
   if (is_served && CapacityFraction(server) >= 1) warm_responses_ += 1;
-  if (!is_slow_request)
+  if (!is_excused_timeout)
     server.failure_rate += kFailureSmoothingFactor * ((is_served ? 0.0 : 1.0) - server.failure_rate);
-  if (!is_slow_request && !server.is_ejected)
+  if (!is_excused_timeout && !server.is_ejected)
     server_failure_rate_ += kFleetFailureSmoothingFactor * ((is_served ? 0.0 : 1.0) - server_failure_rate_);
   if (is_served && server.is_ejected) {
     server.next_probe_at = now_;
@@ -132,7 +132,7 @@
       LogRateLimited("server " + server.info.id + " ready again");
       UpdateSubset(&server);
     }
-  } else if (!is_served && !is_slow_request &&
+  } else if (!is_served && !is_excused_timeout &&
              (server.failure_rate > EjectionThreshold(server) || server.is_ejected)) {
     EjectServer(server);
   }
@@ -140,7 +140,7 @@
   const double sample = ClampLatencyOutlier(server, outcome.latency / work);
   // Failures must not lower the latency: a server with fast errors would look fast. Connection failures, and
   // time-outs while other requests were answered, are not samples at all: no server time was spent on them.
-  if (is_served || (!is_slow_request && !connection_failed && sample > server.latency_ewma))
+  if (is_served || (!is_excused_timeout && !connection_failed && sample > server.latency_ewma))
     UpdateConcurrencyLimit(server, sample,
                            std::min(request.estimated_cost > 0 ? work : 1.0, kMaxRelativeWork), is_served);
   // With a limit below 1, the server pauses between requests: it can take fewer requests than there are
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -68,7 +68,7 @@
       return true;
     }
   }
-  if (RefillSendCredit(server)) return false;
+  if (RefillAndCheckSendCredit(server)) return false;
   const Millis wait = (1 - server.send_credit) / std::max(SendBudgetPerMs(server), 1e-9);
   server_index_.MarkNotReadyUntil(server, now_ + std::clamp(wait, 1.0, kMaxCreditWaitMs));
   return true;
@@ -108,7 +108,7 @@
   // Ejected servers are probed with requests that may run again, one probe at a time.
   if (can_probe) {
     const auto matches = [&](TrackedServer& server) {
-      return is_allowed(server) && RefillSendCredit(server);
+      return is_allowed(server) && RefillAndCheckSendCredit(server);
     };
     if (TrackedServer* const server = server_index_.FindDueProbe(now_, kMaxDraws, matches)) return server;
   }
--- a/src/module/queues.cpp
+++ b/src/module/queues.cpp
@@ -119,10 +119,11 @@
         (std::min(time_left, class_state.settings.deadline) - class_state.first_try_time_left);
   }
   const bool may_be_retry = settings_.clients_mark_retries ? event.retry : true;
-  const Millis elapsed = may_be_retry && time_left < kFirstTryTimeFraction * class_state.first_try_time_left
-                             ? std::max(0.0, class_state.settings.deadline - time_left)
-                             : 0;
-  const bool is_late = elapsed >= class_state.settings.aim;
+  const Millis time_since_first_try =
+      may_be_retry && time_left < kFirstTryTimeFraction * class_state.first_try_time_left
+          ? std::max(0.0, class_state.settings.deadline - time_left)
+          : 0;
+  const bool is_late = time_since_first_try >= class_state.settings.aim;
   request.aim_deadline = std::min(now_ + class_state.settings.aim, request.client_deadline);
   request.within_quota = !is_late && TakeTenantQuota(event.tenant, event.retry);
   retry_budget_ = std::min(retry_budget_ + kRetriesPerFirstAttempt, kMaxRetryBudget);
--- a/src/module/warm_up.cpp
+++ b/src/module/warm_up.cpp
@@ -72,7 +72,7 @@
 
 // A cold server earns credit in proportion to the responses of warm servers. ResetServer starts it with a
 // random fraction of a request: one request from each of hundreds of gateways at once would overload it.
-bool Policy::Impl::RefillSendCredit(TrackedServer& server) {
+bool Policy::Impl::RefillAndCheckSendCredit(TrackedServer& server) {
   if (!HasSendBudget(server)) return true;
   const double max_credit = CapacityFraction(server) < 1 ? 1 : 2;
   server.send_credit = std::min(
