--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -1,4 +1,5 @@
-// All that one Policy does: its jobs are cut over the files of this folder, one each.
+// The implementation of Policy. Its member functions are defined in the .cpp files of this directory, one
+// file per mechanism; the declarations below are grouped by file.
 #ifndef OPALSWITCH_MODULE_IMPL_HPP_
 #define OPALSWITCH_MODULE_IMPL_HPP_
 
@@ -10,112 +11,204 @@
 
 namespace opalswitch {
 
-// General choices of the mechanism that several jobs share, tied to no deployment.
-constexpr double kFast = 0.1;       // weight of a new sample in a server's latency
-constexpr double kSlack = 1.1;      // uncrowded latency times this is no crowding yet
-constexpr double kWarmSlack = 2;    // the same where latency moves with the keys too
-constexpr double kManySharers = 8;  // gateways sharing a server beyond which none keeps a limit for it
-constexpr double kLeastLimit = 1;   // requests, over all gateways, that a crowded server keeps at the least
-constexpr double kErrWeight = 0.2;  // weight of a new outcome in a server's failing share
-constexpr Millis kTrialGap = 300;   // ms to the first trial of a suspect; doubles
-constexpr double kColdShare = 0.4;  // part of the multiple that fells a cold server which it is sent
-constexpr double kMostBusy = 1.1;   // utilisation that counts: noise may show more than all
-constexpr Millis kSpentMemory = 1000;    // ms over which the spent rate is smoothed
-constexpr Millis kLongMemory = 10000;    // ms, the same where a few requests a second must give a rate
-constexpr std::size_t kFewServers = 64;  // that are gone through one by one
-constexpr int kKnown = 10;               // samples from which there is a usual one
-constexpr double kMostWork = 4;          // times the mean, that a sample counts for at the most
+// Constants that several mechanisms use.
+
+// Smoothing factor of a server's latency.
+constexpr double kLatencySmoothingFactor = 0.1;
+// A server counts as loaded when its latency exceeds the baseline latency times this.
+constexpr double kLatencyTolerance = 1.1;
+// The same with key affinity, where the latency also varies with the keys.
+constexpr double kKeyAffinityLatencyTolerance = 2;
+// Concurrency limits are not used where more gateways than this share a server: a limit per gateway would be
+// a fraction of a request.
+constexpr double kMaxGatewaysForConcurrencyLimits = 8;
+// Lower bound of a server's concurrency limit, summed over all gateways.
+constexpr double kMinConcurrencyLimit = 1;
+// Smoothing factor of a server's failure rate.
+constexpr double kFailureSmoothingFactor = 0.2;
+// Time from the ejection of a server to the first probe. It doubles with each failed probe.
+constexpr Millis kInitialProbeIntervalMs = 300;
+// A cold server is sent this fraction of the load that makes it fail (Settings::overload_multiple).
+constexpr double kColdLoadFraction = 0.4;
+// Reported utilization is capped here. Measurement noise may show more than 1.
+constexpr double kMaxUtilization = 1.1;
+// Time constant of the rate at which tokens are spent.
+constexpr Millis kSpentRateWindowMs = 1000;
+// Time constant of rates that must be meaningful at a few requests per second.
+constexpr Millis kLongRateWindowMs = 10000;
+// With up to this many ready servers, all of them are candidates for a request; with more, random samples
+// are.
+constexpr std::size_t kMaxServersForFullScan = 64;
+// Number of latency samples from which a mean is used as the usual latency.
+constexpr int kMinLatencySamples = 10;
+// A latency sample is weighted by its work relative to the mean, up to this.
+constexpr double kMaxRelativeWork = 4;
 
 class Policy::Impl : private State {
  public:
   Impl(Settings settings, std::uint64_t seed);
-  void Handle(Millis now, const Event& event, std::vector<Action>& out);
+  void Handle(Millis now, const Event& event, std::vector<Action>& actions);
   std::vector<ServerStatus> ServerStatuses() const;
 
  private:
-  // policy.cpp
-  void On(const ClientGone& gone);
-  void On(const StreamStarted& s);
-  void On(const TimerDue&) { Sweep(); }
+  // --- policy.cpp
+  void HandleEvent(const ClientGone& event);
+  void HandleEvent(const StreamStarted& event);
+  void HandleEvent(const TimerDue&) { Sweep(); }
+  // Periodic work: membership requests, subset updates, class weights and expiry of queued requests.
   void Sweep();
-  void Emit(Action action) { out_->push_back(std::move(action)); }
-  void Say(std::string text);
-  // membership.cpp
-  void On(const MembershipUpdate& news);
-  Millis AskSpread() const;
-  void Place(Backend& b) { fleet_.Place(b, now_, b.cold_since + set_.warm_up_time); }
-  void OrderRing();
-  void ChooseSubset(Backend* only = nullptr);
-  Backend& Learn(const Server& s);
-  void Renew(Backend& b, Millis since);
-  // warm_up.cpp
-  double Warmth(const Backend& b) const;
-  double ColdRate(const Backend& b) const;
-  bool Many() const { return sharers_ > kManySharers; }
-  // Where many share servers that report, each gateway keeps to a rate for each server that the reports set.
-  bool Metered() const { return Many() && busy_at_ < set_.load_report_fields.size(); }
-  bool Budgeted(const Backend& b) const { return Metered() || Warmth(b) < 1; }
-  double Budget(const Backend& b) const;
-  void Adjust(Backend& b, double busy);
-  bool WithinBudget(Backend& b);
-  void LearnReference(Millis passed);
-  // limits.cpp
-  double Slack() const { return set_.has_key_affinity ? kWarmSlack : kSlack; }
-  bool Ready(Backend& b, bool in_share);
-  double Overuse(const Backend& b) const;
-  void Hear(Backend& b, const std::vector<double>& load);
-  void Measure(Backend& b, double sample, double work, bool served);
-  static double Gain(double least, int samples, double work) {
-    return std::min(1.0, work * std::max(least, 1.0 / samples));
+  void EmitAction(Action action) { actions_->push_back(std::move(action)); }
+  // Emits a log line, or drops it if another one was emitted shortly before.
+  void LogRateLimited(std::string text);
+
+  // --- membership.cpp
+  void HandleEvent(const MembershipUpdate& update);
+  // The time over which the gateways spread their membership requests.
+  Millis WatchSpread() const;
+  // To be called after any change that ServerIndex::UpdateServer depends on.
+  void UpdateServerIndex(TrackedServer& server) {
+    server_index_.UpdateServer(server, now_, server.warm_up_started_at + settings_.warm_up_time);
+  }
+  void BuildRing();
+  // Updates the subset and the index. `changed`: the only server that has changed; null if any may have.
+  void UpdateSubset(TrackedServer* changed = nullptr);
+  // Adds or updates a server from a membership update.
+  TrackedServer& ApplyServerUpdate(const Server& info);
+  // Discards what was learned about a server because its process was started at `since`.
+  void ResetServer(TrackedServer& server, Millis since);
+
+  // --- warm_up.cpp
+  // Fraction of its capacity that a server has in its warm-up; 1 if it is warm.
+  double CapacityFraction(const TrackedServer& server) const;
+  // Requests per ms that this gateway may send to a cold server.
+  double ColdServerRatePerMs(const TrackedServer& server) const;
+  // Whether too many gateways share each server for concurrency limits per gateway.
+  bool IsHighlyShared() const { return gateways_per_server_ > kMaxGatewaysForConcurrencyLimits; }
+  // Whether each gateway limits its rate to each server by the utilization that the server reports.
+  bool UsesReportedBudget() const {
+    return IsHighlyShared() && utilization_index_ < settings_.load_report_fields.size();
+  }
+  // Whether requests to the server are limited by send_credit.
+  bool HasSendBudget(const TrackedServer& server) const {
+    return UsesReportedBudget() || CapacityFraction(server) < 1;
+  }
+  // Requests per ms that this gateway may send to a server with a send budget.
+  double SendBudgetPerMs(const TrackedServer& server) const;
+  // Adjusts the server's send budget to its utilization, reported or inferred from an outcome.
+  void UpdateSendBudget(TrackedServer& server, double utilization);
+  // Refills the server's send credit. Returns whether it suffices for a request; true without a send budget.
+  bool RefillAndCheckSendCredit(TrackedServer& server);
+  // Updates the rate of responses per server that ColdServerRatePerMs is based on.
+  void UpdateReferenceRate(Millis elapsed);
+
+  // --- limits.cpp
+  // Ratio of latency to baseline latency from which a server counts as loaded.
+  double LatencyTolerance() const {
+    return settings_.has_key_affinity ? kKeyAffinityLatencyTolerance : kLatencyTolerance;
+  }
+  // Whether the server is within its limits. Refills its send credit.
+  bool CanTakeRequest(TrackedServer& server, bool within_quota);
+  // The server's utilization above the target; negative below it.
+  double ExcessUtilization(const TrackedServer& server) const;
+  // Applies the load report of an outcome. Ignores missing, negative and NaN utilization.
+  void RecordLoadReport(TrackedServer& server, const std::vector<double>& load);
+  // Adds a latency sample of relative work `work`, and adjusts the concurrency limit.
+  void UpdateConcurrencyLimit(TrackedServer& server, double sample, double work, bool is_served);
+  // Smoothing factor of a sample of relative work `work`: the first samples are averaged with equal weights.
+  static double SmoothingFactor(double min_factor, int samples, double work) {
+    return std::min(1.0, work * std::max(min_factor, 1.0 / samples));
   }
-  void LearnBase(Backend& b, double sample, double work);
-  double StartLimit() const;
-  double LeastLimit() const { return kLeastLimit / sharers_; }
-  // outliers.cpp
-  void Suspect(Backend& b);
-  double OutAbove(const Backend& b) const;
-  double BackBelow(const Backend& b) const;
-  bool Scarce(const Backend& b) const;
-  double Relative(const Flow& flow) const;
-  double Believed(Backend& b, double sample);
-  bool Impatient(const Flow& flow, const Outcome& outcome) const;
-  void Judge(Backend& b, const Flow& flow, const Outcome& outcome);
-  // pick.cpp
-  double Median();
-  double Cost(const Backend& b);
-  bool Allowed(const Flow& flow, const Backend& b) const;
-  bool Shut(Backend& b);
-  template <typename May>
-  Backend* Sample(const Flow& flow, May may, const Backend* except);
-  Backend* Pick(const Flow& flow);
-  // bucket.cpp
-  void Refill(Millis now);
-  double StartRate() const;
-  Millis SpentMemory() const { return kSpentMemory * (Many() ? 4 : 1); }
-  double Spent() const;
-  bool Crowded() const;
-  void MoveRate(const Backend& b, const Flow& flow, const Outcome& outcome);
-  // queues.cpp
-  void Weigh(Millis passed);
-  bool InShare(const std::string& tenant, bool retry);
-  void On(const Request& r);
-  void Enqueue(Flow& flow);
-  Millis HoldUntil(const Flow& flow) const;
-  void ExpireQueued();
-  // A gateway out of connections could only fail to send, which would cost a token and an attempt.
-  bool Room() const { return set_.max_in_flight <= 0 || out_now_ < set_.max_in_flight; }
-  void Release();
-  // attempts.cpp
-  void Dispatch(Flow& flow, Backend& b);
-  void On(Outcome o);
-  void LearnCost(Millis cost);
-  void LearnClass(Tier& c, Millis latency);
-  void TryAgain(Flow& flow, Result result);
-  void Answer(Flow& flow, Cause cause);
-  Millis RetryAfter() const;
-  void Settle(Flow& flow);
-
-  Fleet fleet_;
+  // Adds a latency sample to the baselines of the server and its kind.
+  void UpdateBaselineLatency(TrackedServer& server, double sample, double work);
+  // Limit of a server without latency samples, for this gateway.
+  double InitialConcurrencyLimit() const;
+  double MinConcurrencyLimit() const { return kMinConcurrencyLimit / gateways_per_server_; }
+
+  // --- outliers.cpp
+  // Ejects the server, or delays its next probe if it is ejected already.
+  void EjectServer(TrackedServer& server);
+  // Failure rate above which the server is ejected.
+  double EjectionThreshold(const TrackedServer& server) const;
+  // Failure rate below which the ejected server is used again.
+  double RecoveryThreshold(const TrackedServer& server) const;
+  // Whether most of the capacity apart from this server is ejected.
+  bool TooFewOthersAvailable(const TrackedServer& server) const;
+  // The request's work relative to the mean of all requests; 1 before anything was learned.
+  double RelativeWork(const ActiveRequest& request) const;
+  // Limits a single high latency sample.
+  double ClampLatencyOutlier(TrackedServer& server, double sample);
+  // Whether the attempt timed out because its client gave it too little time.
+  bool HadTooLittleTime(const ActiveRequest& request, const Outcome& outcome) const;
+  // Updates outlier detection, latency and limits of the server from an attempt's outcome.
+  void RecordServerOutcome(TrackedServer& server, const ActiveRequest& request, const Outcome& outcome);
+
+  // --- pick.cpp
+  // Median latency of the servers that are up; cached, see kMedianUpdateDivisor.
+  double MedianLatency();
+  // Expected latency of a further request to the server, for comparison; lower is better.
+  double SelectionCost(const TrackedServer& server);
+  // Whether the server drops repeats of the request's earlier attempts, where that is necessary.
+  bool IsWithinDeduplicationScope(const ActiveRequest& request, const TrackedServer& server) const;
+  // If the server can't take any request now, excludes it in the index until that may have changed, and
+  // returns true. Refills its send credit.
+  bool DeactivateIfNotReady(TrackedServer& server);
+  // Returns a random server that is ready and allowed and not `excluded`, or null.
+  template <typename Predicate>
+  TrackedServer* SampleServer(const ActiveRequest& request, Predicate is_allowed,
+                              const TrackedServer* excluded);
+  // Returns the server to send the request to, or null if none is ready.
+  TrackedServer* SelectServer(const ActiveRequest& request);
+
+  // --- bucket.cpp
+  // Sets now_, refills the token bucket and decays rates. Time never goes backwards.
+  void AdvanceClock(Millis now);
+  // Refill rate in tokens per second to start with.
+  double InitialRefillRate() const;
+  // Longer where servers are highly shared, because each gateway sends little.
+  Millis SpentRateWindow() const { return kSpentRateWindowMs * (IsHighlyShared() ? 4 : 1); }
+  // Tokens spent per second.
+  double SpentRate() const;
+  // Whether enough requests are in flight to load the servers.
+  bool AreServersLoaded() const;
+  // Increases or decreases the refill rate after an outcome.
+  void UpdateRefillRate(const TrackedServer& server, const ActiveRequest& request, const Outcome& outcome);
+
+  // --- queues.cpp
+  // Recomputes the classes' weights in most-credit-first scheduling.
+  void UpdateClassWeights(Millis elapsed);
+  // Returns whether the request is within its tenant's quota, and takes a token from it.
+  bool TakeTenantQuota(const std::string& tenant, bool is_client_retry);
+  void HandleEvent(const Request& event);
+  // Adds the request to its class's queue, or refuses it or a surplus request if the queue is full.
+  void EnqueueOrRefuse(ActiveRequest& request);
+  // When the request is refused if it is still queued.
+  Millis QueueDeadline(const ActiveRequest& request) const;
+  void ExpireQueuedRequests();
+  // Without a free connection the gateway could not send, which would waste a token and an attempt.
+  bool HasFreeConnection() const {
+    return settings_.max_in_flight <= 0 || attempts_in_flight_ < settings_.max_in_flight;
+  }
+  // Sends queued requests while there are tokens, connections and servers for them.
+  void ReleaseQueuedRequests();
+
+  // --- attempts.cpp
+  void SendAttempt(ActiveRequest& request, TrackedServer& server);
+  void HandleEvent(Outcome outcome);
+  // Adds a client's cost estimate to the mean.
+  void RecordEstimatedCost(Millis cost);
+  void RecordClassLatency(ClassState& class_state, Millis latency);
+  // After a failed attempt: queues a retry, or sends the final answer.
+  void RetryOrAnswer(ActiveRequest& request, Result result);
+  // Refuses the request if a retry by the client is harmless, else fails it. `request` may be invalid
+  // afterwards.
+  void SendFinalAnswer(ActiveRequest& request, Cause cause);
+  // Refuse::retry_after; 0 if clients do not receive it.
+  Millis RetryAfterAdvice() const;
+  // Removes the request if it has its final answer and no attempt in flight. `request` may be invalid
+  // afterwards.
+  void RemoveIfFinished(ActiveRequest& request);
+
+  ServerIndex server_index_;
 };
 
 }  // namespace opalswitch
