--- a/src/gateway/descriptors.hpp
+++ b/src/gateway/descriptors.hpp
@@ -9,10 +9,10 @@
 namespace opalswitch::gateway {
 
 // Descriptors for connections to hosts, of those configured and those that the system allows.
-std::size_t HostSockets(std::size_t configured);
+std::size_t HostDescriptorLimit(std::size_t configured);
 
 // What is left for clients, and the memory for their bodies.
-HttpServerLimits LimitsFor(std::size_t configured, double memory_mb);
+HttpServerLimits HttpServerLimitsFor(std::size_t configured, double memory_mb);
 
 }  // namespace opalswitch::gateway
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -21,22 +21,22 @@
   // Listens and watches at once. Throws std::exception if the settings or the address can't work.
   Gateway(boost::asio::io_context& io, const Config& config);
 
-  boost::asio::ip::tcp::endpoint address() const { return clients_.address(""); }
+  boost::asio::ip::tcp::endpoint address() const { return http_server_.address(""); }
 
   // Takes over what a changed configuration may change while the gateway runs: where discovery is.
   void Reload(const Config& config);
 
   // Takes, serves and answers as `times` say, then calls `done`.
   void Stop(std::function<void()> done, StopTimes times);
-  void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::Within(settings_)); }
+  void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::ForSettings(settings_)); }
 
  private:
-  void ListFailed();
+  void OnMembershipUpdateFailed();
 
   const Settings settings_;
   const std::shared_ptr<Pool> pool_;
   Discovery discovery_;
-  HttpServer clients_;
+  HttpServer http_server_;
   StopSequence stop_;
 };
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -20,16 +20,16 @@
 
 // Before a client leaves: answers travel, and timers may come late. Of a short time a part, or nothing is
 // left.
-constexpr Millis kMargin = 10;
-constexpr double kMarginPart = 0.05;
-constexpr double kLastPart = 0.4;           // of that: what the policy has not answered by then is failed
-constexpr std::size_t kMostHostsTold = 64;  // of a larger fleet a line would be long
-constexpr double kSlowShare = 0.5;          // weight below which a host is told of as slow
-constexpr double kMostLoad = 1e6;           // no host can report more of anything
+constexpr Millis kResponseMarginMs = 10;
+constexpr double kResponseMarginFraction = 0.05;
+constexpr double kFinalReplyFraction = 0.4;     // of that: what the policy has not answered by then is failed
+constexpr std::size_t kMaxHostsInLogLine = 64;  // of a larger fleet a line would be long
+constexpr double kSlowWeightFraction = 0.5;     // weight below which a host is told of as slow
+constexpr double kMaxReportedLoad = 1e6;        // no host can report more of anything
 
 // "inflight=7,util=0.61" in the order of the settings' fields; what is missing is not a number. A report that
 // can't be read in any part, or tells what no host can have, is none.
-std::vector<double> ParseLoad(std::string_view text, const std::vector<std::string>& fields) {
+std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
   if (text.empty()) return {};
   std::vector<double> load(fields.size(), std::numeric_limits<double>::quiet_NaN());
   while (!text.empty()) {
@@ -40,40 +40,40 @@
     double value = 0;
     const char* const last = pair.data() + pair.size();
     const auto [end, error] = std::from_chars(pair.data() + equals + 1, last, value);
-    if (error != std::errc() || end != last || !(value >= 0 && value <= kMostLoad)) return {};
+    if (error != std::errc() || end != last || !(value >= 0 && value <= kMaxReportedLoad)) return {};
     const auto field = std::find(fields.begin(), fields.end(), pair.substr(0, equals));
     if (field != fields.end()) load[static_cast<std::size_t>(field - fields.begin())] = value;
   }
   return load;
 }
 
-std::string Seconds(Millis ms) {
+std::string FormatSeconds(Millis ms) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", ms / 1000);
   return text;
 }
 
 // What a host is told of who asks, and by which way (RFC 9110 7.6.3).
-void Introduce(ClientRequest& call) {
+void AddForwardingHeaders(ClientRequest& request) {
   const auto append = [&](const char* name, const std::string& value) {
-    const std::string before(call.http[name]);
-    call.http.set(name, before.empty() ? value : before + ", " + value);
+    const std::string before(request.http[name]);
+    request.http.set(name, before.empty() ? value : before + ", " + value);
   };
-  append("Via", call.http.version() < 11 ? "1.0 forkwick" : "1.1 forkwick");
-  if (!call.client.empty()) append("X-Forwarded-For", call.client);
-  call.http.set("X-Forwarded-Proto", "http");
-  if (call.http.count("Req-Id") == 0) call.http.set("Req-Id", call.id);
+  append("Via", request.http.version() < 11 ? "1.0 forkwick" : "1.1 forkwick");
+  if (!request.client.empty()) append("X-Forwarded-For", request.client);
+  request.http.set("X-Forwarded-Proto", "http");
+  if (request.http.count("Req-Id") == 0) request.http.set("Req-Id", request.id);
 }
 
-MembershipUpdate ToNews(const HostList& list) {
-  MembershipUpdate news;
-  news.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
-  for (const Host& host : list.hosts) news.servers.push_back(host.server);
-  return news;
+MembershipUpdate ToMembershipUpdate(const HostList& list) {
+  MembershipUpdate update;
+  update.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
+  for (const Host& host : list.hosts) update.servers.push_back(host.server);
+  return update;
 }
 
 // The request that an event is about; empty if it is about none.
-std::string RequestOf(const Event& event) {
+std::string RequestIdOf(const Event& event) {
   if (const auto* request = std::get_if<Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<Outcome>(&event)) return outcome->request;
   if (const auto* gone = std::get_if<ClientGone>(&event)) return gone->request;
@@ -86,257 +86,268 @@
     : io_(io),
       options_(std::move(options)),
       policy_(options_.settings, options_.seed),
-      hosts_(io, options_.upstream),
-      losses_(options_.settings.classes) {
-  for (const ClassSettings& cls : options_.settings.classes) aims_[cls.name] = cls.aim;
+      host_pool_(io, options_.upstream),
+      loss_recorder_(options_.settings.classes) {
+  for (const ClassSettings& cls : options_.settings.classes) aim_by_class_[cls.name] = cls.aim;
 }
 
 void Pool::Submit(ClientRequest&& request) {
-  if (flows_.contains(request.id)) {  // two answers for one id could not be told apart
+  if (requests_.contains(request.id)) {  // two answers for one id could not be told apart
     HttpResponse response(http::status::conflict, 11);
     response.body() = "Req-Id is in use\n";
     response.keep_alive(false);
     return request.respond(std::move(response));
   }
-  Flow& flow = flows_.try_emplace(request.id, io_).first->second;
-  if (options_.plain) Introduce(request);
-  flow.http = std::make_shared<const HttpRequest>(std::move(request.http));
-  flow.answer = std::move(request.respond);
-  flow.hold = std::move(request.admission);
-  flow.class_name = request.class_name;
-  flow.received = request.received;
-  const auto aim = aims_.find(request.class_name);
-  flow.aim_at = request.received + (aim == aims_.end() ? 0 : aim->second);
-  const Millis gives_up = request.received + request.client_timeout;
-  const Millis margin = std::min(kMargin, kMarginPart * request.client_timeout);
-  flow.leaves_at = gives_up - margin;
-  flow.overdue.expires_after(ToDuration(gives_up - kLastPart * margin - Now()));
-  flow.overdue.async_wait([weak = weak_from_this(), id = request.id](error_code ec) {
+  PendingRequest& pending = requests_.try_emplace(request.id, io_).first->second;
+  if (options_.plain) AddForwardingHeaders(request);
+  pending.http = std::make_shared<const HttpRequest>(std::move(request.http));
+  pending.respond = std::move(request.respond);
+  pending.admission = std::move(request.admission);
+  pending.class_name = request.class_name;
+  pending.received_at = request.received;
+  const auto aim = aim_by_class_.find(request.class_name);
+  pending.aim_deadline = request.received + (aim == aim_by_class_.end() ? 0 : aim->second);
+  const Millis client_gives_up = request.received + request.client_timeout;
+  const Millis margin = std::min(kResponseMarginMs, kResponseMarginFraction * request.client_timeout);
+  pending.response_deadline = client_gives_up - margin;
+  pending.deadline_timer.expires_after(ToDuration(client_gives_up - kFinalReplyFraction * margin - Now()));
+  pending.deadline_timer.async_wait([weak = weak_from_this(), id = request.id](error_code ec) {
     const auto self = weak.lock();
-    if (!ec && self) self->Overdue(id);
+    if (!ec && self) self->OnDeadline(id);
   });
-  Report(Request{request.id, request.class_name, request.tenant, request.key, flow.leaves_at - Now(),
-                 request.is_retry, request.cost});
+  HandleEvent(Request{request.id, request.class_name, request.tenant, request.key,
+                      pending.response_deadline - Now(), request.is_retry, request.cost});
 }
 
 void Pool::UpdateMembership(const HostList& list) {
-  hosts_.Update(list);  // first: nothing may be sent by the old list any more
-  listed_ = listed_ || !list.hosts.empty();
-  Report(ToNews(list));
+  host_pool_.Update(list);  // first: nothing may be sent by the old list any more
+  has_hosts_ = has_hosts_ || !list.hosts.empty();
+  HandleEvent(ToMembershipUpdate(list));
 }
 
-void Pool::Ended(const std::string& id, std::size_t attempt, Result result, HttpResponse response) {
-  Flow* const flow = Find(id);
-  if (flow == nullptr) return;
-  Attempt& ended = flow->attempts[attempt];
-  ended.out = false;
+void Pool::OnAttemptEnded(const std::string& id, std::size_t attempt, Result result, HttpResponse response) {
+  PendingRequest* const pending = FindRequest(id);
+  if (pending == nullptr) return;
+  Attempt& ended = pending->attempts[attempt];
+  ended.in_flight = false;
   const auto report = response["Srv-Load"];
   Outcome outcome{id,
                   static_cast<int>(attempt),
                   ended.host,
                   result,
                   false,
-                  Now() - ended.sent,
-                  ParseLoad({report.data(), report.size()}, options_.settings.load_report_fields)};
+                  Now() - ended.sent_at,
+                  ParseLoadReport({report.data(), report.size()}, options_.settings.load_report_fields)};
   if (options_.plain && result == Result::kError) {
-    flow->error = std::make_shared<HttpResponse>(response);
-    StripHopByHop(*flow->error);
-    flow->error->erase("Srv-Load");
+    pending->last_error = std::make_shared<HttpResponse>(response);
+    StripHopByHop(*pending->last_error);
+    pending->last_error->erase("Srv-Load");
   }
-  if (result != Result::kServed) losses_.RecordWastedAttempt(flow->class_name, result, Now() - ended.sent);
+  if (result != Result::kServed)
+    loss_recorder_.RecordWastedAttempt(pending->class_name, result, Now() - ended.sent_at);
   if (result == Result::kServed) {
-    if (!flow->answered)
-      Ended(*flow, Now() <= flow->aim_at ? ledger::RequestOutcome::kInTime : ledger::RequestOutcome::kLate,
-            "");
+    if (!pending->is_answered)
+      RecordOutcome(
+          *pending,
+          Now() <= pending->aim_deadline ? ledger::RequestOutcome::kInTime : ledger::RequestOutcome::kLate,
+          "");
     StripHopByHop(response);
     response.erase("Srv-Load");
-    Answer(*flow, std::move(response));
+    Respond(*pending, std::move(response));
   }
-  Report(std::move(outcome));
+  HandleEvent(std::move(outcome));
 }
 
 // The policy's own timers answer in time; this one is for when they came late.
-void Pool::Overdue(const std::string& id) {
-  Flow* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return;
-  Decline(*flow, ledger::RequestOutcome::kFailed, HttpResponse(http::status::gateway_timeout, 11), "overdue");
-  Report(ClientGone{id});
+void Pool::OnDeadline(const std::string& id) {
+  PendingRequest* const pending = FindRequest(id);
+  if (pending == nullptr || pending->is_answered) return;
+  RespondWithCause(*pending, ledger::RequestOutcome::kFailed, HttpResponse(http::status::gateway_timeout, 11),
+                   "overdue");
+  HandleEvent(ClientGone{id});
 }
 
-void Pool::Report(Event event) {
+void Pool::HandleEvent(Event event) {
   events_.push_back(std::move(event));
-  if (reporting_) return;
-  reporting_ = true;
+  if (handling_events_) return;
+  handling_events_ = true;
   std::vector<Action> actions;
   while (!events_.empty()) {
     Event next = std::move(events_.front());
     events_.pop_front();
-    const std::string id = RequestOf(next);
+    const std::string id = RequestIdOf(next);
     if (auto* const outcome = std::get_if<Outcome>(&next)) {
-      const Flow* const flow = Find(id);
-      outcome->finished = flow == nullptr || flow->answered;
+      const PendingRequest* const pending = FindRequest(id);
+      outcome->finished = pending == nullptr || pending->is_answered;
     }
     actions.clear();
     policy_.Handle(Now(), next, actions);
     for (const Action& action : actions) {
-      std::visit([this](const auto& a) { Do(a); }, action);
+      std::visit([this](const auto& a) { Execute(a); }, action);
     }
-    Settle(id);
+    EraseIfFinished(id);
   }
-  reporting_ = false;
+  handling_events_ = false;
 }
 
-void Pool::Do(const Send& send) {
-  Flow* const flow = Find(send.request);
+void Pool::Execute(const Send& send) {
+  PendingRequest* const pending = FindRequest(send.request);
   const Millis now = Now();
   // A request that is over, or one attempt too many, is never sent, whatever was decided a moment ago.
-  if (flow == nullptr || flow->answered ||
-      static_cast<int>(flow->attempts.size()) >= options_.settings.max_attempts) {
-    const int attempt = flow == nullptr ? 0 : static_cast<int>(flow->attempts.size());
-    if (flow != nullptr) flow->attempts.push_back({send.server, now, 0, false});
-    return Report(Outcome{send.request, attempt, send.server, Result::kNotSent, true, 0, {}});
+  if (pending == nullptr || pending->is_answered ||
+      static_cast<int>(pending->attempts.size()) >= options_.settings.max_attempts) {
+    const int attempt = pending == nullptr ? 0 : static_cast<int>(pending->attempts.size());
+    if (pending != nullptr) pending->attempts.push_back({send.server, now, 0, false});
+    return HandleEvent(Outcome{send.request, attempt, send.server, Result::kNotSent, true, 0, {}});
   }
-  const std::size_t index = flow->attempts.size();
-  flow->attempts.push_back({send.server, now});
-  const Millis until = send.timeout > 0 ? std::min(now + send.timeout, flow->leaves_at) : flow->leaves_at;
-  const std::uint64_t number = hosts_.Start(
-      send.server, flow->http, until, [this, id = send.request, index](Result result, HttpResponse response) {
-        Ended(id, index, result, std::move(response));
-      });
-  flow->attempts[index].number = number;
+  const std::size_t index = pending->attempts.size();
+  pending->attempts.push_back({send.server, now});
+  const Millis deadline = send.timeout > 0 ? std::min(now + send.timeout, pending->response_deadline)
+                                           : pending->response_deadline;
+  const std::uint64_t upstream_id =
+      host_pool_.Start(send.server, pending->http, deadline,
+                       [this, id = send.request, index](Result result, HttpResponse response) {
+                         OnAttemptEnded(id, index, result, std::move(response));
+                       });
+  pending->attempts[index].upstream_id = upstream_id;
 }
 
-void Pool::Do(const Refuse& refuse) {
-  Flow* const flow = Find(refuse.request);
-  if (flow == nullptr) return;
+void Pool::Execute(const Refuse& refuse) {
+  PendingRequest* const pending = FindRequest(refuse.request);
+  if (pending == nullptr) return;
   HttpResponse response(http::status::service_unavailable, 11);
-  response.set(http::field::retry_after,
-               options_.plain ? FormatRetryAfterSeconds(refuse.retry_after) : Seconds(refuse.retry_after));
-  Decline(*flow, ledger::RequestOutcome::kRefused, std::move(response), CauseName(refuse.cause));
-  Settle(refuse.request);
+  response.set(http::field::retry_after, options_.plain ? FormatRetryAfterSeconds(refuse.retry_after)
+                                                        : FormatSeconds(refuse.retry_after));
+  RespondWithCause(*pending, ledger::RequestOutcome::kRefused, std::move(response), CauseName(refuse.cause));
+  EraseIfFinished(refuse.request);
 }
 
-void Pool::Do(const Fail& fail) {
-  Flow* const flow = Find(fail.request);
-  if (flow == nullptr) return;
+void Pool::Execute(const Fail& fail) {
+  PendingRequest* const pending = FindRequest(fail.request);
+  if (pending == nullptr) return;
   // A host's own error is passed on. Not with a status that says "try again": it may have run.
-  const unsigned status = flow->error ? flow->error->result_int() : 0;
+  const unsigned status = pending->last_error ? pending->last_error->result_int() : 0;
   if (status != 0 && status != 503) {
-    if (!flow->answered) Ended(*flow, ledger::RequestOutcome::kFailed, CauseName(fail.cause));
-    Answer(*flow, std::move(*flow->error));
+    if (!pending->is_answered)
+      RecordOutcome(*pending, ledger::RequestOutcome::kFailed, CauseName(fail.cause));
+    Respond(*pending, std::move(*pending->last_error));
   } else {
-    Decline(*flow, ledger::RequestOutcome::kFailed, HttpResponse(http::status::bad_gateway, 11),
-            CauseName(fail.cause));
+    RespondWithCause(*pending, ledger::RequestOutcome::kFailed, HttpResponse(http::status::bad_gateway, 11),
+                     CauseName(fail.cause));
   }
-  Settle(fail.request);
+  EraseIfFinished(fail.request);
 }
 
-void Pool::Do(const Cancel& cancel) {
-  Flow* const flow = Find(cancel.request);
+void Pool::Execute(const Cancel& cancel) {
+  PendingRequest* const pending = FindRequest(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
-  if (flow != nullptr && attempt < flow->attempts.size()) hosts_.Cancel(flow->attempts[attempt].number);
+  if (pending != nullptr && attempt < pending->attempts.size())
+    host_pool_.Cancel(pending->attempts[attempt].upstream_id);
 }
 
-void Pool::Do(const SetTimer& timer) {
-  const auto wait = std::make_shared<asio::steady_timer>(io_, ToDuration(timer.delay));
-  wait->async_wait([weak = weak_from_this(), wait, name = timer.name](error_code ec) {
+void Pool::Execute(const SetTimer& timer) {
+  const auto wait_timer = std::make_shared<asio::steady_timer>(io_, ToDuration(timer.delay));
+  wait_timer->async_wait([weak = weak_from_this(), wait_timer, name = timer.name](error_code ec) {
     const auto self = weak.lock();
     if (ec || !self) return;
-    self->Report(TimerDue{name});
-    self->TellLosses();
+    self->HandleEvent(TimerDue{name});
+    self->LogLosses();
   });
 }
 
-void Pool::Do(const Watch&) {
+void Pool::Execute(const Watch&) {
   if (options_.request_watch) options_.request_watch();
 }
 
-void Pool::Do(const Log& log) {
-  const char* const mark = options_.name.empty() ? "" : ": ";
-  std::fprintf(stderr, "%s%s%s\n", options_.name.c_str(), mark, log.text.c_str());
+void Pool::Execute(const Log& log) {
+  const char* const separator = options_.name.empty() ? "" : ": ";
+  std::fprintf(stderr, "%s%s%s\n", options_.name.c_str(), separator, log.text.c_str());
 }
 
 // Its own answers say why, whatever the settings: a client that can't read it loses nothing.
-void Pool::Decline(Flow& flow, ledger::RequestOutcome fate, HttpResponse response, std::string_view cause) {
-  if (flow.answered) return;
-  Ended(flow, fate, cause);
+void Pool::RespondWithCause(PendingRequest& pending, ledger::RequestOutcome outcome, HttpResponse response,
+                            std::string_view cause) {
+  if (pending.is_answered) return;
+  RecordOutcome(pending, outcome, cause);
   response.set(kCauseHeader, boost::beast::string_view(cause.data(), cause.size()));
-  Answer(flow, std::move(response));
+  Respond(pending, std::move(response));
 }
 
-void Pool::Ended(const Flow& flow, ledger::RequestOutcome fate, std::string_view cause) {
-  losses_.RecordRequest(flow.class_name, fate, cause, Now() - flow.received);
+void Pool::RecordOutcome(const PendingRequest& pending, ledger::RequestOutcome outcome,
+                         std::string_view cause) {
+  loss_recorder_.RecordRequest(pending.class_name, outcome, cause, Now() - pending.received_at);
 }
 
 // What was lost in the last second, and which hosts then had what share of the usual: few lines, whatever the
 // load.
-void Pool::TellLosses() {
-  const auto lines = losses_.TakeLogLines(Now());
+void Pool::LogLosses() {
+  const auto lines = loss_recorder_.TakeLogLines(Now());
   if (lines.empty()) return;
-  for (const std::string& line : lines) Do(Log{line});
-  if (hosts_.host_count() > kMostHostsTold) return;
+  for (const std::string& line : lines) Execute(Log{line});
+  if (host_pool_.host_count() > kMaxHostsInLogLine) return;
   char at[32];
   std::snprintf(at, sizeof at, "%.1f", Now() / 1000);
-  std::string line = std::string("hosts at=") + at + " out=" + std::to_string(hosts_.attempts_in_flight());
-  for (const ServerStatus& verdict : policy_.ServerStatuses()) {
-    char share[32];
-    std::snprintf(share, sizeof share, "=%.2f", verdict.weight);
-    if (verdict.ejected) line += " suspect." + verdict.server;
-    if (!verdict.ejected && verdict.weight < kSlowShare) line += " slow." + verdict.server + share;
+  std::string line =
+      std::string("hosts at=") + at + " out=" + std::to_string(host_pool_.attempts_in_flight());
+  for (const ServerStatus& status : policy_.ServerStatuses()) {
+    char weight[32];
+    std::snprintf(weight, sizeof weight, "=%.2f", status.weight);
+    if (status.ejected) line += " suspect." + status.server;
+    if (!status.ejected && status.weight < kSlowWeightFraction) line += " slow." + status.server + weight;
   }
-  Do(Log{line});
+  Execute(Log{line});
 }
 
-Pool::Flow* Pool::Find(const std::string& id) {
-  const auto found = flows_.find(id);
-  return found == flows_.end() ? nullptr : &found->second;
+Pool::PendingRequest* Pool::FindRequest(const std::string& id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
 }
 
-void Pool::Answer(Flow& flow, HttpResponse response) {
-  if (std::exchange(flow.answered, true)) return;
-  flow.overdue.cancel();
-  flow.http.reset();  // attempts that are still out have their own
-  flow.hold.reset();
-  std::exchange(flow.answer, nullptr)(std::move(response));
+void Pool::Respond(PendingRequest& pending, HttpResponse response) {
+  if (std::exchange(pending.is_answered, true)) return;
+  pending.deadline_timer.cancel();
+  pending.http.reset();  // attempts that are still out have their own
+  pending.admission.reset();
+  std::exchange(pending.respond, nullptr)(std::move(response));
 }
 
-void Pool::Settle(const std::string& id) {
-  const auto found = flows_.find(id);
-  if (found == flows_.end() || !found->second.answered) return;
+void Pool::EraseIfFinished(const std::string& id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end() || !found->second.is_answered) return;
   const auto& attempts = found->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; })) {
-    flows_.erase(found);
-    if (flows_.empty() && idle_) asio::post(io_, idle_);
+  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; })) {
+    requests_.erase(found);
+    if (requests_.empty() && on_idle_) asio::post(io_, on_idle_);
   }
 }
 
-void Pool::MembershipUpdateFailed() { Report(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
+void Pool::MembershipUpdateFailed() { HandleEvent(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
 
 void Pool::ClientDisconnected(const std::string& id) {
-  if (Flow* const flow = Find(id)) {
-    if (!flow->answered) Ended(*flow, ledger::RequestOutcome::kGone, "");
-    flow->answered = true;  // nothing is owed any more
-    flow->http.reset();
-    flow->hold.reset();
-    flow->overdue.cancel();
+  if (PendingRequest* const pending = FindRequest(id)) {
+    if (!pending->is_answered) RecordOutcome(*pending, ledger::RequestOutcome::kGone, "");
+    pending->is_answered = true;  // nothing is owed any more
+    pending->http.reset();
+    pending->admission.reset();
+    pending->deadline_timer.cancel();
   }
-  Report(ClientGone{id});
+  HandleEvent(ClientGone{id});
 }
 
 void Pool::FailPending() {
-  std::vector<std::string> left;
-  for (const auto& [id, flow] : flows_) left.push_back(id);
-  for (const std::string& id : left) Overdue(id);
+  std::vector<std::string> ids;
+  for (const auto& [id, pending] : requests_) ids.push_back(id);
+  for (const std::string& id : ids) OnDeadline(id);
 }
 
 void Pool::DropPending() {
-  idle_ = nullptr;
-  const auto flows = std::exchange(flows_, {});  // what they hold may lead back here
+  on_idle_ = nullptr;
+  const auto pending = std::exchange(requests_, {});  // what they hold may lead back here
 }
 
-void Pool::WhenIdle(std::function<void()> idle) {
-  idle_ = std::move(idle);
-  if (flows_.empty() && idle_) asio::post(io_, idle_);
+void Pool::WhenIdle(std::function<void()> on_idle) {
+  on_idle_ = std::move(on_idle);
+  if (requests_.empty() && on_idle_) asio::post(io_, on_idle_);
 }
 
 }  // namespace opalswitch::gateway
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -35,80 +35,81 @@
   Pool(boost::asio::io_context& io, Options options);
 
   // Takes a request; its answer follows, perhaps before Submit returns.
-  void Submit(ClientRequest&& call);
+  void Submit(ClientRequest&& request);
   // The client of an unanswered request has left.
   void ClientDisconnected(const std::string& id);
 
   // What the membership says. Takes effect at once.
   void UpdateMembership(const HostList& list);
   void MembershipUpdateFailed();
-  bool has_hosts() const { return listed_; }  // some host was told of
+  bool has_hosts() const { return has_hosts_; }  // some host was told of
 
   // Fails all that is not answered yet.
   void FailPending();
   // Lets go of all requests without an answer: for the end of the process, when nobody is left to take one.
   void DropPending();
   // Requests that are not answered, or have attempts out.
-  std::size_t active_requests() const { return flows_.size(); }
+  std::size_t active_requests() const { return requests_.size(); }
   // `idle` is called, from the loop, each time that no request is open any more, and now if none is.
-  void WhenIdle(std::function<void()> idle);
-  std::size_t connections() const { return hosts_.connections(); }
+  void WhenIdle(std::function<void()> on_idle);
+  std::size_t connections() const { return host_pool_.connections(); }
 
  private:
   struct Attempt {
     std::string host;
-    Millis sent = 0;
-    std::uint64_t number = 0;  // the pool's
-    bool out = true;
+    Millis sent_at = 0;
+    std::uint64_t upstream_id = 0;  // the pool's
+    bool in_flight = true;
   };
   // A client's request, until it is answered and all its attempts have ended.
-  struct Flow {
-    explicit Flow(boost::asio::io_context& io) : overdue(io) {}
+  struct PendingRequest {
+    explicit PendingRequest(boost::asio::io_context& io) : deadline_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
-    std::function<void(HttpResponse)> answer;
-    std::shared_ptr<void> hold;
-    std::shared_ptr<HttpResponse> error;  // the last that a host answered; for plain pools
+    std::function<void(HttpResponse)> respond;
+    std::shared_ptr<void> admission;
+    std::shared_ptr<HttpResponse> last_error;  // the last that a host answered; for plain pools
     std::string class_name;
-    Millis received = 0, aim_at = 0;  // an answer after aim_at is late
-    Millis leaves_at = 0;             // by then the policy's answer must be under way
-    bool answered = false;
+    Millis received_at = 0, aim_deadline = 0;  // an answer after aim_at is late
+    Millis response_deadline = 0;              // by then the policy's answer must be under way
+    bool is_answered = false;
     std::vector<Attempt> attempts;
-    boost::asio::steady_timer overdue;
+    boost::asio::steady_timer deadline_timer;
   };
 
-  void Ended(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
-  void Overdue(const std::string& id);
+  void OnAttemptEnded(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
+  void OnDeadline(const std::string& id);
 
   // Hands an event to the policy and carries out what it says, one event after the other: what an action
   // causes at once waits in the queue.
-  void Report(Event event);
-  void Do(const Send& send);
-  void Do(const Refuse& refuse);
-  void Do(const Fail& fail);
-  void Do(const Cancel& cancel);
-  void Do(const SetTimer& timer);
-  void Do(const Watch& watch);
-  void Do(const Log& log);
+  void HandleEvent(Event event);
+  void Execute(const Send& send);
+  void Execute(const Refuse& refuse);
+  void Execute(const Fail& fail);
+  void Execute(const Cancel& cancel);
+  void Execute(const SetTimer& timer);
+  void Execute(const Watch& watch);
+  void Execute(const Log& log);
 
-  Flow* Find(const std::string& id);
-  void Answer(Flow& flow, HttpResponse response);
+  PendingRequest* FindRequest(const std::string& id);
+  void Respond(PendingRequest& pending, HttpResponse response);
   // An answer of the gateway's own, with its cause in a word.
-  void Decline(Flow& flow, ledger::RequestOutcome fate, HttpResponse response, std::string_view cause);
-  void Ended(const Flow& flow, ledger::RequestOutcome fate, std::string_view cause);
-  void TellLosses();
-  void Settle(const std::string& id);
+  void RespondWithCause(PendingRequest& pending, ledger::RequestOutcome outcome, HttpResponse response,
+                        std::string_view cause);
+  void RecordOutcome(const PendingRequest& pending, ledger::RequestOutcome outcome, std::string_view cause);
+  void LogLosses();
+  void EraseIfFinished(const std::string& id);
 
   boost::asio::io_context& io_;
   const Options options_;
   Policy policy_;
-  HostPool hosts_;
-  std::unordered_map<std::string, Flow> flows_;
+  HostPool host_pool_;
+  std::unordered_map<std::string, PendingRequest> requests_;
   std::deque<Event> events_;
-  ledger::LossRecorder losses_;
-  std::unordered_map<std::string, Millis> aims_;  // by class
-  bool reporting_ = false;
-  bool listed_ = false;
-  std::function<void()> idle_;
+  ledger::LossRecorder loss_recorder_;
+  std::unordered_map<std::string, Millis> aim_by_class_;  // by class
+  bool handling_events_ = false;
+  bool has_hosts_ = false;
+  std::function<void()> on_idle_;
 };
 
 }  // namespace opalswitch::gateway
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -40,7 +40,7 @@
   std::optional<std::string> Reload(Services services);
 
   boost::asio::ip::tcp::endpoint address(const std::string& listener) const {
-    return clients_.address(listener);
+    return http_server_.address(listener);
   }
 
   // As the platform's: see StopTimes.
@@ -48,43 +48,43 @@
 
   // What stands where, for tests and logs.
   std::shared_ptr<const Pool> pool(const std::string& id) const;
-  std::size_t draining_pools() const { return retiring_.size(); }
+  std::size_t draining_pools() const { return draining_.size(); }
   const NodeRegistry& nodes() const { return nodes_; }
-  std::size_t connections() const { return clients_.connections(); }
+  std::size_t connections() const { return http_server_.connections(); }
 
  private:
-  struct Member;
-  struct Ticket;
+  struct PoolEntry;
+  struct Admission;
   // What one file came to. Never changed; replaced.
   struct Snapshot {
     Services services;
-    std::vector<std::shared_ptr<Member>> members;  // as services->pools
+    std::vector<std::shared_ptr<PoolEntry>> pools;  // as services->pools
   };
 
-  std::optional<LocalReply> Admit(const HttpRequest& head, const routing::Target& target,
-                                  const RequestOrigin& origin, ClientRequest& call);
-  std::optional<LocalReply> Describe(const HttpRequest& head, const config::RouteRule& rule,
-                                     const config::Pool& pool, ClientRequest& call);
-  std::optional<LocalReply> Enter(const std::shared_ptr<Member>& member, ClientRequest& call);
+  std::optional<LocalReply> HandleRequestHead(const HttpRequest& head, const routing::Target& target,
+                                              const RequestOrigin& origin, ClientRequest& request);
+  std::optional<LocalReply> ClassifyRequest(const HttpRequest& head, const config::RouteRule& rule,
+                                            const config::Pool& pool, ClientRequest& request);
+  std::optional<LocalReply> ApplyLimits(const std::shared_ptr<PoolEntry>& entry, ClientRequest& request);
 
   // Throws std::exception if the pool can't work.
-  std::shared_ptr<Member> MakeMember(const config::Pool& pool);
-  void Begin(Member& member, const config::Pool& pool);
-  void Share(const Snapshot& snapshot);
-  void Told(Member& member, const HostList& list);
-  void Retire(const std::shared_ptr<Member>& member);
-  void Sweep();
+  std::shared_ptr<PoolEntry> MakePool(const config::Pool& pool);
+  void StartHostSource(PoolEntry& entry, const config::Pool& pool);
+  void DistributeBudgets(const Snapshot& snapshot);
+  void OnMembershipUpdate(PoolEntry& entry, const HostList& list);
+  void BeginDrain(const std::shared_ptr<PoolEntry>& entry);
+  void RemoveDrainedPools();
 
   boost::asio::io_context& io_;
   const std::uint64_t seed_;
-  std::uint64_t made_ = 0;  // pools and ids so far
-  std::uint64_t ids_ = 0;
-  limits::SharedBudget descriptors_, places_, bodies_;
+  std::uint64_t pools_created_ = 0;  // pools and ids so far
+  std::uint64_t request_ids_created_ = 0;
+  limits::SharedBudget descriptors_, client_connections_, body_memory_;
   NodeRegistry nodes_;
   std::shared_ptr<const Snapshot> snapshot_;
-  std::list<std::shared_ptr<Member>> retiring_;
-  bool sweeping_ = false;
-  HttpServer clients_;
+  std::list<std::shared_ptr<PoolEntry>> draining_;
+  bool removal_scheduled_ = false;
+  HttpServer http_server_;
   StopSequence stop_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
--- a/src/gateway/stop_sequence.cpp
+++ b/src/gateway/stop_sequence.cpp
@@ -8,29 +8,31 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr Millis kFlush = 200;     // for the last answers to leave
-constexpr Millis kLongest = 3000;  // of a deadline, as the platform's grace counts it
-constexpr Millis kBeyond = 300;    // from the longest deadline to the last answer: 400 ms before the end
+constexpr Millis kFlushMs = 200;                // for the last answers to leave
+constexpr Millis kMaxCountedDeadlineMs = 3000;  // of a deadline, as the platform's grace counts it
+constexpr Millis kFailPendingAfterDeadlineMs =
+    300;  // from the longest deadline to the last answer: 400 ms before the end
 
 }  // namespace
 
-StopTimes StopTimes::Within(const Settings& settings) {
+StopTimes StopTimes::ForSettings(const Settings& settings) {
   Millis longest = 0;
   for (const ClassSettings& c : settings.classes) longest = std::max(longest, c.deadline);
-  longest = std::min(longest, kLongest);
+  longest = std::min(longest, kMaxCountedDeadlineMs);
   StopTimes times;
-  const Millis answered_last = times.answer - times.serve;
-  times.answer = longest + kBeyond;
-  times.serve = times.answer - answered_last * longest / kLongest;
-  times.accept = std::min(times.accept, times.serve);
+  const Millis drain_to_fail = times.fail_pending - times.drain;
+  times.fail_pending = longest + kFailPendingAfterDeadlineMs;
+  times.drain = times.fail_pending - drain_to_fail * longest / kMaxCountedDeadlineMs;
+  times.stop_listening = std::min(times.stop_listening, times.drain);
   return times;
 }
 
-StopSequence::StopSequence(boost::asio::io_context& io, HttpServer& clients, std::function<void()> fail_rest)
-    : clients_(clients), fail_rest_(std::move(fail_rest)), timer_(io) {}
+StopSequence::StopSequence(boost::asio::io_context& io, HttpServer& http_server,
+                           std::function<void()> fail_pending)
+    : http_server_(http_server), fail_pending_(std::move(fail_pending)), timer_(io) {}
 
 template <typename Next>
-void StopSequence::After(Millis wait, Next next) {
+void StopSequence::RunAfter(Millis wait, Next next) {
   timer_.expires_after(ToDuration(wait));
   timer_.async_wait([next = std::move(next)](boost::system::error_code ec) {
     if (!ec) next();
@@ -38,14 +40,14 @@
 }
 
 void StopSequence::Begin(std::function<void()> done, const StopTimes& times) {
-  if (std::exchange(begun_, true)) return;
-  After(times.accept, [this, times, done] {
-    clients_.StopListening();
-    After(times.serve - times.accept, [this, times, done] {
-      clients_.Drain(done);
-      After(times.answer - times.serve, [this, done] {
-        fail_rest_();
-        After(kFlush, done);
+  if (std::exchange(has_begun_, true)) return;
+  RunAfter(times.stop_listening, [this, times, done] {
+    http_server_.StopListening();
+    RunAfter(times.drain - times.stop_listening, [this, times, done] {
+      http_server_.Drain(done);
+      RunAfter(times.fail_pending - times.drain, [this, done] {
+        fail_pending_();
+        RunAfter(kFlushMs, done);
       });
     });
   });
--- a/src/ledger/losses.cpp
+++ b/src/ledger/losses.cpp
@@ -22,56 +22,57 @@
 
 LossRecorder::LossRecorder(const std::vector<ClassSettings>& classes) {
   for (const ClassSettings& c : classes) {
-    names_.push_back(c.name);
-    accounts_[c.name].worth = c.worth;
+    class_names_.push_back(c.name);
+    counts_by_class_[c.name].worth = c.worth;
   }
 }
 
-void LossRecorder::RecordRequest(const std::string& class_name, RequestOutcome fate, std::string_view cause,
-                                 Millis took) {
-  const auto found = accounts_.find(class_name);
-  if (found == accounts_.end()) return;
-  Account& account = found->second;
-  ++account.ended;
-  if (fate == RequestOutcome::kInTime) {
-    ++account.in_time;
+void LossRecorder::RecordRequest(const std::string& class_name, RequestOutcome outcome,
+                                 std::string_view cause, Millis elapsed) {
+  const auto found = counts_by_class_.find(class_name);
+  if (found == counts_by_class_.end()) return;
+  ClassCounts& counts = found->second;
+  ++counts.ended;
+  if (outcome == RequestOutcome::kInTime) {
+    ++counts.in_time;
     return;
   }
-  lost_ = true;
-  if (fate == RequestOutcome::kLate) ++account.late;
-  if (fate == RequestOutcome::kGone) ++account.gone;
-  if (fate == RequestOutcome::kRefused || fate == RequestOutcome::kFailed) {
-    ++account.causes[(fate == RequestOutcome::kRefused ? "refused." : "failed.") + std::string(cause)];
-    account.waited += took;
+  has_losses_ = true;
+  if (outcome == RequestOutcome::kLate) ++counts.late;
+  if (outcome == RequestOutcome::kGone) ++counts.gone;
+  if (outcome == RequestOutcome::kRefused || outcome == RequestOutcome::kFailed) {
+    ++counts.causes[(outcome == RequestOutcome::kRefused ? "refused." : "failed.") + std::string(cause)];
+    counts.waited += elapsed;
   }
 }
 
 void LossRecorder::RecordWastedAttempt(const std::string& class_name, Result result, Millis spent) {
-  const auto found = accounts_.find(class_name);
-  if (found == accounts_.end()) return;
-  lost_ = true;
+  const auto found = counts_by_class_.find(class_name);
+  if (found == counts_by_class_.end()) return;
+  has_losses_ = true;
   ++found->second.causes[std::string("wasted.") + ResultName(result)];
   found->second.wasted += spent;
 }
 
 std::vector<std::string> LossRecorder::TakeLogLines(Millis now) {
-  if (now < told_at_ + kLineEvery) return {};
-  told_at_ = now;
+  if (now < lines_taken_at_ + kLogIntervalMs) return {};
+  lines_taken_at_ = now;
   std::vector<std::string> lines;
-  if (!std::exchange(lost_, false)) return lines;  // what was served meanwhile counts in the next line
-  for (const std::string& name : names_) {
-    Account& account = accounts_[name];
-    const Account was = std::exchange(account, Account{account.worth, 0, 0, 0, 0, 0, 0, {}});
-    if (was.ended == 0 && was.causes.empty()) continue;
+  if (!std::exchange(has_losses_, false)) return lines;  // what was served meanwhile counts in the next line
+  for (const std::string& name : class_names_) {
+    ClassCounts& counts = counts_by_class_[name];
+    const ClassCounts taken = std::exchange(counts, ClassCounts{counts.worth, 0, 0, 0, 0, 0, 0, {}});
+    if (taken.ended == 0 && taken.causes.empty()) continue;
     char text[256];
-    std::snprintf(text, sizeof text, " at=%.1f worth=%g ended=%llu in_time=%llu", now / 1000, was.worth,
-                  static_cast<unsigned long long>(was.ended), static_cast<unsigned long long>(was.in_time));
+    std::snprintf(text, sizeof text, " at=%.1f worth=%g ended=%llu in_time=%llu", now / 1000, taken.worth,
+                  static_cast<unsigned long long>(taken.ended),
+                  static_cast<unsigned long long>(taken.in_time));
     std::string line = "losses class=" + name + text;
-    if (was.late > 0) line += " late=" + std::to_string(was.late);
-    for (const auto& [cause, count] : was.causes) line += " " + cause + "=" + std::to_string(count);
-    if (was.gone > 0) line += " gone=" + std::to_string(was.gone);
-    if (was.waited >= 1) line += " waited_ms=" + std::to_string(std::lround(was.waited));
-    if (was.wasted >= 1) line += " wasted_ms=" + std::to_string(std::lround(was.wasted));
+    if (taken.late > 0) line += " late=" + std::to_string(taken.late);
+    for (const auto& [cause, count] : taken.causes) line += " " + cause + "=" + std::to_string(count);
+    if (taken.gone > 0) line += " gone=" + std::to_string(taken.gone);
+    if (taken.waited >= 1) line += " waited_ms=" + std::to_string(std::lround(taken.waited));
+    if (taken.wasted >= 1) line += " wasted_ms=" + std::to_string(std::lround(taken.wasted));
     lines.push_back(std::move(line));
   }
   return lines;
--- a/src/ledger/losses.hpp
+++ b/src/ledger/losses.hpp
@@ -20,12 +20,13 @@
 class LossRecorder {
  public:
   // Every so many ms at the most a class has a line; none where nothing was lost.
-  static constexpr Millis kLineEvery = 1000;
+  static constexpr Millis kLogIntervalMs = 1000;
 
   explicit LossRecorder(const std::vector<ClassSettings>& classes);
 
-  // One request has ended, `took` ms after it came. `cause` is one word; empty for what was served.
-  void RecordRequest(const std::string& class_name, RequestOutcome fate, std::string_view cause, Millis took);
+  // One request has ended, `elapsed` ms after it came. `cause` is one word; empty for what was served.
+  void RecordRequest(const std::string& class_name, RequestOutcome outcome, std::string_view cause,
+                     Millis elapsed);
   // An attempt ended without serving anybody; `spent` ms of a server's time at the most.
   void RecordWastedAttempt(const std::string& class_name, Result result, Millis spent);
 
@@ -37,18 +38,18 @@
   std::vector<std::string> TakeLogLines(Millis now);
 
  private:
-  struct Account {
+  struct ClassCounts {
     double worth = 0;
     std::uint64_t ended = 0, in_time = 0, late = 0, gone = 0;
     Millis waited = 0, wasted = 0;
     std::map<std::string, std::uint64_t> causes;  // by "refused.rate" and the like: words of a closed list
   };
 
-  std::unordered_map<std::string, Account>
-      accounts_;                    // of classes alone: what names none is in one of its own
-  std::vector<std::string> names_;  // in the settings' order
-  Millis told_at_ = 0;
-  bool lost_ = false;
+  std::unordered_map<std::string, ClassCounts>
+      counts_by_class_;                   // of classes alone: what names none is in one of its own
+  std::vector<std::string> class_names_;  // in the settings' order
+  Millis lines_taken_at_ = 0;
+  bool has_losses_ = false;
 };
 
 // The word for how an attempt ended.
--- a/src/limits/read_throttle.hpp
+++ b/src/limits/read_throttle.hpp
@@ -16,18 +16,18 @@
 class ReadThrottle {
  public:
   // `per_s`: connections read from again each second, over all of a pool. `most`: longest pause of one.
-  ReadThrottle(double per_s, Millis most) : gap_(1000 / per_s), most_(most) {}
+  ReadThrottle(double reads_per_s, Millis max_delay) : interval_(1000 / reads_per_s), max_delay_(max_delay) {}
 
   // How long a connection that was turned away now is to pause. A few at a time pause for nothing.
   Millis NextDelay(Millis now) {
-    constexpr double kAtOnce = 20;
-    next_ = std::max(next_, now - kAtOnce * gap_) + gap_;
-    return std::clamp(next_ - now, 0.0, most_);
+    constexpr double kBurst = 20;
+    next_read_at_ = std::max(next_read_at_, now - kBurst * interval_) + interval_;
+    return std::clamp(next_read_at_ - now, 0.0, max_delay_);
   }
 
  private:
-  const Millis gap_, most_;
-  Millis next_ = -1e15;
+  const Millis interval_, max_delay_;
+  Millis next_read_at_ = -1e15;
 };
 
 }  // namespace opalswitch::limits
--- a/src/limits/request_limiter.hpp
+++ b/src/limits/request_limiter.hpp
@@ -26,7 +26,7 @@
     Millis retry_after = 0;  // of a refusal
   };
 
-  explicit RequestLimiter(const PoolLimits& limits) : limits_(limits), tokens_(Burst()) {}
+  explicit RequestLimiter(const PoolLimits& limits) : limits_(limits), tokens_(MaxTokens()) {}
 
   // A request that enters is held until Release.
   Admission TryAdmit(Millis now);
@@ -35,12 +35,12 @@
   std::size_t active() const { return active_; }
 
  private:
-  double Burst() const;
+  double MaxTokens() const;
 
   PoolLimits limits_;
   double tokens_;
-  Millis at_ = 0;
-  bool begun_ = false;
+  Millis refilled_at_ = 0;
+  bool has_refilled_ = false;
   std::size_t active_ = 0;
 };
 
--- a/src/limits/shared_budget.cpp
+++ b/src/limits/shared_budget.cpp
@@ -4,60 +4,60 @@
 
 namespace opalswitch::limits {
 
-SharedBudget::ParticipantId SharedBudget::AddParticipant(Amount guaranteed, Amount most) {
-  const ParticipantId party = next_++;
-  participants_[party] = {std::min(guaranteed, most), most, 0, false};
-  booked_ += participants_[party].Booked();
-  return party;
+SharedBudget::ParticipantId SharedBudget::AddParticipant(Amount guaranteed, Amount max) {
+  const ParticipantId id = next_id_++;
+  participants_[id] = {std::min(guaranteed, max), max, 0, false};
+  reserved_ += participants_[id].Reserved();
+  return id;
 }
 
-void SharedBudget::RemoveParticipant(ParticipantId party) {
-  SetLimits(party, 0, 0);
-  const auto found = participants_.find(party);
+void SharedBudget::RemoveParticipant(ParticipantId id) {
+  SetLimits(id, 0, 0);
+  const auto found = participants_.find(id);
   if (found == participants_.end()) return;
-  found->second.left = true;
+  found->second.is_removed = true;
   if (found->second.used == 0) participants_.erase(found);
 }
 
-void SharedBudget::SetLimits(ParticipantId party, Amount guaranteed, Amount most) {
-  const auto found = participants_.find(party);
+void SharedBudget::SetLimits(ParticipantId id, Amount guaranteed, Amount max) {
+  const auto found = participants_.find(id);
   if (found == participants_.end()) return;
-  Share& share = found->second;
-  booked_ -= share.Booked();
-  share.guaranteed = std::min(guaranteed, most);
-  share.most = most;
-  booked_ += share.Booked();
+  Participant& participant = found->second;
+  reserved_ -= participant.Reserved();
+  participant.guaranteed = std::min(guaranteed, max);
+  participant.max = max;
+  reserved_ += participant.Reserved();
 }
 
-bool SharedBudget::TryAcquire(ParticipantId party, Amount amount) {
-  const auto found = participants_.find(party);
+bool SharedBudget::TryAcquire(ParticipantId id, Amount amount) {
+  const auto found = participants_.find(id);
   if (found == participants_.end()) return false;
-  Share& share = found->second;
-  if (share.most < share.used || amount > share.most - share.used) return false;
+  Participant& participant = found->second;
+  if (participant.max < participant.used || amount > participant.max - participant.used) return false;
   if (total_ < used_ || amount > total_ - used_) return false;
-  const Amount before = share.Booked();
-  const Amount after = std::max(share.guaranteed, share.used + amount);
-  if (after > before && (total_ < booked_ || after - before > total_ - booked_)) return false;
-  share.used += amount;
+  const Amount before = participant.Reserved();
+  const Amount after = std::max(participant.guaranteed, participant.used + amount);
+  if (after > before && (total_ < reserved_ || after - before > total_ - reserved_)) return false;
+  participant.used += amount;
   used_ += amount;
-  booked_ += after - before;
+  reserved_ += after - before;
   return true;
 }
 
-void SharedBudget::Release(ParticipantId party, Amount amount) {
-  const auto found = participants_.find(party);
+void SharedBudget::Release(ParticipantId id, Amount amount) {
+  const auto found = participants_.find(id);
   if (found == participants_.end()) return;
-  Share& share = found->second;
-  amount = std::min(amount, share.used);
-  booked_ -= share.Booked();
-  share.used -= amount;
+  Participant& participant = found->second;
+  amount = std::min(amount, participant.used);
+  reserved_ -= participant.Reserved();
+  participant.used -= amount;
   used_ -= amount;
-  booked_ += share.Booked();
-  if (share.left && share.used == 0) participants_.erase(found);
+  reserved_ += participant.Reserved();
+  if (participant.is_removed && participant.used == 0) participants_.erase(found);
 }
 
-SharedBudget::Amount SharedBudget::used(ParticipantId party) const {
-  const auto found = participants_.find(party);
+SharedBudget::Amount SharedBudget::used(ParticipantId id) const {
+  const auto found = participants_.find(id);
   return found == participants_.end() ? 0 : found->second.used;
 }
 
--- a/src/limits/shared_budget.hpp
+++ b/src/limits/shared_budget.hpp
@@ -21,33 +21,33 @@
 
   // Guarantees may add up to more than the total for a while (a pool that drains beside the one that replaces
   // it): what is in use never exceeds the total all the same.
-  ParticipantId AddParticipant(Amount guaranteed, Amount most = kUnlimited);
+  ParticipantId AddParticipant(Amount guaranteed, Amount max = kUnlimited);
   // Its guarantee ends; what it still holds stays counted until it is given back.
-  void RemoveParticipant(ParticipantId party);
-  void SetLimits(ParticipantId party, Amount guaranteed, Amount most = kUnlimited);
+  void RemoveParticipant(ParticipantId id);
+  void SetLimits(ParticipantId id, Amount guaranteed, Amount max = kUnlimited);
   void Resize(Amount total) { total_ = total; }
 
   // False, and nothing taken, if there is no room for all of it.
-  bool TryAcquire(ParticipantId party, Amount amount = 1);
+  bool TryAcquire(ParticipantId id, Amount amount = 1);
   // At most what the party holds.
-  void Release(ParticipantId party, Amount amount = 1);
+  void Release(ParticipantId id, Amount amount = 1);
 
   Amount total() const { return total_; }
   Amount used() const { return used_; }
-  Amount used(ParticipantId party) const;
+  Amount used(ParticipantId id) const;
   std::size_t participants() const { return participants_.size(); }
 
  private:
-  struct Share {
-    Amount guaranteed = 0, most = 0, used = 0;
-    bool left = false;
-    Amount Booked() const { return used > guaranteed ? used : guaranteed; }
+  struct Participant {
+    Amount guaranteed = 0, max = 0, used = 0;
+    bool is_removed = false;
+    Amount Reserved() const { return used > guaranteed ? used : guaranteed; }
   };
   Amount total_;
   Amount used_ = 0;
-  Amount booked_ = 0;  // the greater of used and guaranteed, summed
-  ParticipantId next_ = 1;
-  std::map<ParticipantId, Share> participants_;
+  Amount reserved_ = 0;  // the greater of used and guaranteed, summed
+  ParticipantId next_id_ = 1;
+  std::map<ParticipantId, Participant> participants_;
 };
 
 }  // namespace opalswitch::limits
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -34,7 +34,7 @@
   };
   // How an attempt ended; the answer is that of the host, if there was one. Called once for each Start,
   // perhaps before Start returns.
-  using Done = std::function<void(Result, HttpResponse)>;
+  using Completion = std::function<void(Result, HttpResponse)>;
 
   HostPool(boost::asio::io_context& io, Limits limits);
   // Closes all connections. Attempts still out are never told of.
@@ -48,32 +48,32 @@
 
   // Sends the request unless the host is not to be used any more. Returns a number for Cancel.
   std::uint64_t Start(const std::string& host, std::shared_ptr<const HttpRequest> request, Millis deadline,
-                      Done done);
+                      Completion done);
   // Ends an attempt that is still out, with kCancelled. Its connection is closed.
   void Cancel(std::uint64_t attempt);
 
   std::size_t connections() const { return connections_; }
-  std::size_t host_count() const { return hosts_.size(); }           // hosts that may be used
-  std::size_t attempts_in_flight() const { return active_.size(); }  // attempts that are out
+  std::size_t host_count() const { return hosts_.size(); }              // hosts that may be used
+  std::size_t attempts_in_flight() const { return in_flight_.size(); }  // attempts that are out
 
  private:
   class Connection;
   struct HostState {
     boost::asio::ip::tcp::endpoint address;
-    bool up = false;
+    bool is_up = false;
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
   };
 
-  void CloseIdle(HostState& host);
-  bool EvictIdle();
-  bool TakeSocket();
-  bool MayUse(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
-  void Forget(const std::string& host, const Connection* connection);
+  void CloseIdleConnections(HostState& host);
+  bool CloseLongestIdle();
+  bool ReserveConnection();
+  bool IsUsable(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
+  void RemoveIdle(const std::string& host, const Connection* connection);
 
   boost::asio::io_context& io_;
   const Limits limits_;
   std::map<std::string, HostState> hosts_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> active_;  // by attempt
+  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> in_flight_;  // by attempt
   std::size_t connections_ = 0;
   std::uint64_t next_attempt_ = 1;
 };
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -942,24 +942,24 @@
 // Guards a site whose deadlines are short: the platform ends a gateway by force 700 ms after the longest of
 // them (3 s at the most), so a stop that takes its time as if they were long loses what it still holds.
 TEST(StopTimes, EndBeforeTheGatewayIsKilledWhateverTheDeadlines) {
-  const auto within = [](std::initializer_list<Millis> deadlines) {
+  const auto stop_times = [](std::initializer_list<Millis> deadlines) {
     Settings settings;
     for (const Millis deadline : deadlines) settings.classes.emplace_back().deadline = deadline;
-    return gateway::StopTimes::Within(settings);
+    return gateway::StopTimes::ForSettings(settings);
   };
   for (const Millis longest : {20.0, 400.0, 1340.0, 2000.0, 3000.0, 6000.0}) {
-    const gateway::StopTimes times = within({10.0, longest, 15.0});
+    const gateway::StopTimes times = stop_times({10.0, longest, 15.0});
     const Millis killed = std::min(longest, 3000.0) + 700;
-    EXPECT_LE(0, times.accept) << longest;
-    EXPECT_LE(times.accept, times.serve) << longest;
-    EXPECT_LE(times.serve, times.answer) << longest;
-    EXPECT_LE(times.answer, killed - 400) << longest;
+    EXPECT_LE(0, times.stop_listening) << longest;
+    EXPECT_LE(times.stop_listening, times.drain) << longest;
+    EXPECT_LE(times.drain, times.fail_pending) << longest;
+    EXPECT_LE(times.fail_pending, killed - 400) << longest;
     if (longest >= 400) {  // connections go on coming for up to 400
-      EXPECT_GE(times.accept, 450) << longest;
+      EXPECT_GE(times.stop_listening, 450) << longest;
     }
   }
-  EXPECT_EQ(within({6000.0}).serve, gateway::StopTimes().serve);
-  EXPECT_EQ(within({6000.0}).answer, gateway::StopTimes().answer);
+  EXPECT_EQ(stop_times({6000.0}).serve, gateway::StopTimes().drain);
+  EXPECT_EQ(stop_times({6000.0}).answer, gateway::StopTimes().fail_pending);
 }
 
 // The same over sockets: a kept connection is closed, and the end comes, by the time that the settings leave.
@@ -976,7 +976,7 @@
   EXPECT_TRUE(kept->AwaitEnd());
   kept->Leave();
   EXPECT_TRUE(world.Until([&] { return done; }));
-  EXPECT_LT(gateway::Now() - begun, gateway::StopTimes().serve);  // where long deadlines would have closed it
+  EXPECT_LT(gateway::Now() - begun, gateway::StopTimes().drain);  // where long deadlines would have closed it
 }
 
 }  // namespace
