--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -8,15 +8,17 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr std::size_t kReservedDescriptors =
-    24;  // listener, discovery, standard streams, the loop's own, and room
-constexpr double kHostDescriptorFraction =
-    0.45;  // of the descriptors left; an attempt out holds one, as its client does
-constexpr double kClientSoftLimitFraction =
-    0.3;                                      // of all descriptors: clients hold a third of them at the most
-constexpr double kBodyMemoryFraction = 0.15;  // of the memory: bodies are held twice while they are passed on
-
-// Descriptors that may be used, by the configuration and by the system.
+// For listeners, discovery, the standard streams and the event loop, with some to spare.
+constexpr std::size_t kReservedDescriptors = 24;
+// Of the usable descriptors. Below a half: each attempt in flight also has a client connection.
+constexpr double kHostDescriptorFraction = 0.45;
+// Of the configured descriptors: past it idle client connections are closed. Clients hold at most a third of
+// them.
+constexpr double kClientSoftLimitFraction = 0.3;
+// Of the memory. Each body is held twice while it is forwarded.
+constexpr double kBodyMemoryFraction = 0.15;
+
+// Returns the descriptors available for connections under the configured and the system's limit.
 std::size_t UsableDescriptors(std::size_t configured) {
   rlimit limit{};
   std::size_t available = configured;
--- a/src/gateway/descriptors.hpp
+++ b/src/gateway/descriptors.hpp
@@ -1,4 +1,4 @@
-// How the process's file descriptors are dealt out between clients and hosts.
+// Divides the process's file descriptors between connections to clients and connections to hosts.
 #ifndef OPALSWITCH_GATEWAY_DESCRIPTORS_HPP_
 #define OPALSWITCH_GATEWAY_DESCRIPTORS_HPP_
 
@@ -8,10 +8,12 @@
 
 namespace opalswitch::gateway {
 
-// Descriptors for connections to hosts, of those configured and those that the system allows.
+// Returns the number of descriptors for connections to hosts. `configured` is capped by the system's
+// RLIMIT_NOFILE.
 std::size_t HostDescriptorLimit(std::size_t configured);
 
-// What is left for clients, and the memory for their bodies.
+// Returns the HTTP server's limits: the remaining descriptors for client connections, and the memory for
+// request bodies out of `memory_mb` (MiB).
 HttpServerLimits HttpServerLimitsFor(std::size_t configured, double memory_mb);
 
 }  // namespace opalswitch::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-// The module is told how many attempts there are descriptors for.
+// Limits the attempts in flight to the descriptors available for connections to hosts.
 Settings WithDescriptorLimit(const Config& config) {
   Settings settings = config.settings;
   settings.max_in_flight = static_cast<int>(HostDescriptorLimit(config.sockets));
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-// Hosts and clients have descriptors of their own: both sides together stay under the limit.
+// Connections to hosts and to clients have separate shares of the descriptors, which together stay below the
+// limit.
 Gateway::Gateway(asio::io_context& io, const Config& config)
     : settings_(WithDescriptorLimit(config)),
       pool_(std::make_shared<Pool>(
@@ -57,7 +58,7 @@
 
 void Gateway::OnMembershipUpdateFailed() {
   pool_->MembershipUpdateFailed();
-  if (settings_.requires_watch) return;  // the policy says when to ask again
+  if (settings_.requires_watch) return;  // the module requests the next watch itself
   discovery_.WatchLater();
 }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-// The platform's gateway: one listener, one pool, and discovery as the platform gives it.
+// The gateway for the platform: one listener, one pool, and the platform's discovery service.
 #ifndef OPALSWITCH_GATEWAY_GATEWAY_HPP_
 #define OPALSWITCH_GATEWAY_GATEWAY_HPP_
 
@@ -18,15 +18,16 @@
 
 class Gateway {
  public:
-  // Listens and watches at once. Throws std::exception if the settings or the address can't work.
+  // Opens the listener and starts discovery. Throws std::exception if the settings are invalid or the address
+  // can't be bound.
   Gateway(boost::asio::io_context& io, const Config& config);
 
   boost::asio::ip::tcp::endpoint address() const { return http_server_.address(""); }
 
-  // Takes over what a changed configuration may change while the gateway runs: where discovery is.
+  // Applies the part of a changed configuration that can change at run time: the address of discovery.
   void Reload(const Config& config);
 
-  // Takes, serves and answers as `times` say, then calls `done`.
+  // Shuts down gracefully as `times` say, then calls `done`.
   void Stop(std::function<void()> done, StopTimes times);
   void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::ForSettings(settings_)); }
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -18,17 +18,19 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// Before a client leaves: answers travel, and timers may come late. Of a short time a part, or nothing is
-// left.
+// Time kept before the client's timeout for the response to reach the client and for timers that fire late.
+// With a short timeout the margin is a fraction of it: a fixed margin would use up all the time.
 constexpr Millis kResponseMarginMs = 10;
 constexpr double kResponseMarginFraction = 0.05;
-constexpr double kFinalReplyFraction = 0.4;     // of that: what the policy has not answered by then is failed
-constexpr std::size_t kMaxHostsInLogLine = 64;  // of a larger fleet a line would be long
-constexpr double kSlowWeightFraction = 0.5;     // weight below which a host is told of as slow
-constexpr double kMaxReportedLoad = 1e6;        // no host can report more of anything
-
-// "inflight=7,util=0.61" in the order of the settings' fields; what is missing is not a number. A report that
-// can't be read in any part, or tells what no host can have, is none.
+// The request is failed this fraction of the margin before the client's timeout if the module has not
+// answered it.
+constexpr double kFinalReplyFraction = 0.4;
+constexpr std::size_t kMaxHostsInLogLine = 64;  // no "hosts" line for larger pools: it would be too long
+constexpr double kSlowWeightFraction = 0.5;     // a host with a lower weight is logged as slow
+constexpr double kMaxReportedLoad = 1e6;        // larger values in a load report are invalid
+
+// Parses a Srv-Load header such as "inflight=7,util=0.61" into the order of `fields`; a missing field is NaN.
+// Returns an empty vector if any part of the report is malformed or out of range.
 std::vector<double> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
   if (text.empty()) return {};
   std::vector<double> load(fields.size(), std::numeric_limits<double>::quiet_NaN());
@@ -53,7 +55,7 @@
   return text;
 }
 
-// What a host is told of who asks, and by which way (RFC 9110 7.6.3).
+// Adds Via (RFC 9110 7.6.3), X-Forwarded-For, X-Forwarded-Proto and, if missing, Req-Id.
 void AddForwardingHeaders(ClientRequest& request) {
   const auto append = [&](const char* name, const std::string& value) {
     const std::string before(request.http[name]);
@@ -72,7 +74,7 @@
   return update;
 }
 
-// The request that an event is about; empty if it is about none.
+// Returns the id of the request that an event belongs to; empty if it belongs to none.
 std::string RequestIdOf(const Event& event) {
   if (const auto* request = std::get_if<Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<Outcome>(&event)) return outcome->request;
@@ -92,7 +94,7 @@
 }
 
 void Pool::Submit(ClientRequest&& request) {
-  if (requests_.contains(request.id)) {  // two answers for one id could not be told apart
+  if (requests_.contains(request.id)) {  // the module identifies requests by id
     HttpResponse response(http::status::conflict, 11);
     response.body() = "Req-Id is in use\n";
     response.keep_alive(false);
@@ -120,7 +122,7 @@
 }
 
 void Pool::UpdateMembership(const HostList& list) {
-  host_pool_.Update(list);  // first: nothing may be sent by the old list any more
+  host_pool_.Update(list);  // before the module reacts: it must not send to a host that is gone
   has_hosts_ = has_hosts_ || !list.hosts.empty();
   HandleEvent(ToMembershipUpdate(list));
 }
@@ -158,7 +160,7 @@
   HandleEvent(std::move(outcome));
 }
 
-// The policy's own timers answer in time; this one is for when they came late.
+// The module's timers normally answer in time; this is the fallback for timers that fire late.
 void Pool::OnDeadline(const std::string& id) {
   PendingRequest* const pending = FindRequest(id);
   if (pending == nullptr || pending->is_answered) return;
@@ -193,7 +195,8 @@
 void Pool::Execute(const Send& send) {
   PendingRequest* const pending = FindRequest(send.request);
   const Millis now = Now();
-  // A request that is over, or one attempt too many, is never sent, whatever was decided a moment ago.
+  // The request may have ended, or reached max_attempts, since the module decided to send it: never send it
+  // then.
   if (pending == nullptr || pending->is_answered ||
       static_cast<int>(pending->attempts.size()) >= options_.settings.max_attempts) {
     const int attempt = pending == nullptr ? 0 : static_cast<int>(pending->attempts.size());
@@ -225,7 +228,7 @@
 void Pool::Execute(const Fail& fail) {
   PendingRequest* const pending = FindRequest(fail.request);
   if (pending == nullptr) return;
-  // A host's own error is passed on. Not with a status that says "try again": it may have run.
+  // Forward the host's own error response, except a 503: it invites a retry, but the request may have run.
   const unsigned status = pending->last_error ? pending->last_error->result_int() : 0;
   if (status != 0 && status != 503) {
     if (!pending->is_answered)
@@ -264,7 +267,8 @@
   std::fprintf(stderr, "%s%s%s\n", options_.name.c_str(), separator, log.text.c_str());
 }
 
-// Its own answers say why, whatever the settings: a client that can't read it loses nothing.
+// Always sets the header: clients that don't know it ignore it. The HTTP server removes it if the
+// configuration says so.
 void Pool::RespondWithCause(PendingRequest& pending, ledger::RequestOutcome outcome, HttpResponse response,
                             std::string_view cause) {
   if (pending.is_answered) return;
@@ -278,8 +282,8 @@
   loss_recorder_.RecordRequest(pending.class_name, outcome, cause, Now() - pending.received_at);
 }
 
-// What was lost in the last second, and which hosts then had what share of the usual: few lines, whatever the
-// load.
+// Logs what was lost since the last lines, and which hosts are ejected or have a reduced weight. At most one
+// line per class and one for the hosts each second, independent of the load.
 void Pool::LogLosses() {
   const auto lines = loss_recorder_.TakeLogLines(Now());
   if (lines.empty()) return;
@@ -306,7 +310,7 @@
 void Pool::Respond(PendingRequest& pending, HttpResponse response) {
   if (std::exchange(pending.is_answered, true)) return;
   pending.deadline_timer.cancel();
-  pending.http.reset();  // attempts that are still out have their own
+  pending.http.reset();  // attempts in flight hold their own reference
   pending.admission.reset();
   std::exchange(pending.respond, nullptr)(std::move(response));
 }
@@ -326,7 +330,7 @@
 void Pool::ClientDisconnected(const std::string& id) {
   if (PendingRequest* const pending = FindRequest(id)) {
     if (!pending->is_answered) RecordOutcome(*pending, ledger::RequestOutcome::kGone, "");
-    pending->is_answered = true;  // nothing is owed any more
+    pending->is_answered = true;  // no response is to be sent any more
     pending->http.reset();
     pending->admission.reset();
     pending->deadline_timer.cancel();
@@ -342,7 +346,7 @@
 
 void Pool::DropPending() {
   on_idle_ = nullptr;
-  const auto pending = std::exchange(requests_, {});  // what they hold may lead back here
+  const auto pending = std::exchange(requests_, {});  // destroying them may call back into this pool
 }
 
 void Pool::WhenIdle(std::function<void()> on_idle) {
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -1,4 +1,6 @@
-// One pool of hosts: its module, its connections, and the life of each request that was routed to it.
+// A pool of hosts with a decision module and upstream connections of its own. The pool feeds events
+// (requests, outcomes, timers, membership updates) to the module, executes the actions it returns, and tracks
+// each request until it is answered and all its attempts have ended. Runs on one event loop; not thread-safe.
 #ifndef OPALSWITCH_GATEWAY_POOL_HPP_
 #define OPALSWITCH_GATEWAY_POOL_HPP_
 
@@ -23,64 +25,69 @@
 class Pool : public std::enable_shared_from_this<Pool> {
  public:
   struct Options {
-    std::string name;   // before its lines in the log; empty where there is one pool
-    Settings settings;  // of its module
+    std::string name;   // prefix of log lines; empty if there is only one pool
+    Settings settings;  // of the decision module
     std::uint64_t seed = 0;
     HostPool::Limits upstream;
-    bool plain = false;                   // answers for HTTP's usual clients: see docs/operators/services.md
-    std::function<void()> request_watch;  // the module asks for the list of hosts; may be empty
+    bool plain = false;                   // serve ordinary HTTP clients: see docs/operators/services.md
+    std::function<void()> request_watch;  // requests a discovery watch for the module; may be empty
   };
 
-  // Throws std::invalid_argument if the settings can't work. Held by a shared_ptr.
+  // Throws std::invalid_argument if the settings are invalid. Must be owned by a std::shared_ptr.
   Pool(boost::asio::io_context& io, Options options);
 
-  // Takes a request; its answer follows, perhaps before Submit returns.
+  // Starts a request. `request.respond` is called once, possibly before Submit returns.
   void Submit(ClientRequest&& request);
-  // The client of an unanswered request has left.
+  // Reports that the client of an unanswered request closed its connection.
   void ClientDisconnected(const std::string& id);
 
-  // What the membership says. Takes effect at once.
+  // Applies a full or partial host list. Takes effect immediately: a host that is no longer up gets no
+  // further requests.
   void UpdateMembership(const HostList& list);
+  // Reports that the source could not deliver a list; the last one stays in use.
   void MembershipUpdateFailed();
-  bool has_hosts() const { return has_hosts_; }  // some host was told of
+  bool has_hosts() const { return has_hosts_; }  // a list with at least one host has been received
 
-  // Fails all that is not answered yet.
+  // Answers all unanswered requests with a failure.
   void FailPending();
-  // Lets go of all requests without an answer: for the end of the process, when nobody is left to take one.
+  // Discards all requests without answering them. For process shutdown, when no client is left to answer.
   void DropPending();
-  // Requests that are not answered, or have attempts out.
+  // Requests that are unanswered or still have attempts in flight.
   std::size_t active_requests() const { return requests_.size(); }
-  // `idle` is called, from the loop, each time that no request is open any more, and now if none is.
+  // Posts `on_idle` to the event loop each time the last active request ends, and immediately if there is
+  // none.
   void WhenIdle(std::function<void()> on_idle);
+  // Open upstream connections.
   std::size_t connections() const { return host_pool_.connections(); }
 
  private:
   struct Attempt {
     std::string host;
     Millis sent_at = 0;
-    std::uint64_t upstream_id = 0;  // the pool's
+    std::uint64_t upstream_id = 0;  // id of the attempt in HostPool, for Cancel
     bool in_flight = true;
   };
-  // A client's request, until it is answered and all its attempts have ended.
+  // State of a request until it is answered and all its attempts have ended.
   struct PendingRequest {
     explicit PendingRequest(boost::asio::io_context& io) : deadline_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
     std::function<void(HttpResponse)> respond;
     std::shared_ptr<void> admission;
-    std::shared_ptr<HttpResponse> last_error;  // the last that a host answered; for plain pools
+    std::shared_ptr<HttpResponse> last_error;  // last error response of a host; plain pools only
     std::string class_name;
-    Millis received_at = 0, aim_deadline = 0;  // an answer after aim_at is late
-    Millis response_deadline = 0;              // by then the policy's answer must be under way
+    Millis received_at = 0, aim_deadline = 0;  // a response after aim_deadline is late
+    Millis response_deadline = 0;              // the module must have answered by then
     bool is_answered = false;
     std::vector<Attempt> attempts;
     boost::asio::steady_timer deadline_timer;
   };
 
   void OnAttemptEnded(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
+  // Fails the request if it is still unanswered shortly before its client gives up.
   void OnDeadline(const std::string& id);
 
-  // Hands an event to the policy and carries out what it says, one event after the other: what an action
-  // causes at once waits in the queue.
+  // Passes an event to the decision module and executes the returned actions. Not reentrant: events that an
+  // action raises synchronously are queued and handled after it.
   void HandleEvent(Event event);
   void Execute(const Send& send);
   void Execute(const Refuse& refuse);
@@ -91,11 +98,14 @@
   void Execute(const Log& log);
 
   PendingRequest* FindRequest(const std::string& id);
+  // Sends the response unless the request is already answered, and releases its admission.
   void Respond(PendingRequest& pending, HttpResponse response);
-  // An answer of the gateway's own, with its cause in a word.
+  // Sends a refusal or failure of the gateway itself, with `cause` as Forkwick-Cause header, and records the
+  // outcome.
   void RespondWithCause(PendingRequest& pending, ledger::RequestOutcome outcome, HttpResponse response,
                         std::string_view cause);
   void RecordOutcome(const PendingRequest& pending, ledger::RequestOutcome outcome, std::string_view cause);
+  // Writes the log lines "losses ..." and "hosts ..." if they are due.
   void LogLosses();
   void EraseIfFinished(const std::string& id);
 
@@ -106,7 +116,7 @@
   std::unordered_map<std::string, PendingRequest> requests_;
   std::deque<Event> events_;
   ledger::LossRecorder loss_recorder_;
-  std::unordered_map<std::string, Millis> aim_by_class_;  // by class
+  std::unordered_map<std::string, Millis> aim_by_class_;  // by class name
   bool handling_events_ = false;
   bool has_hosts_ = false;
   std::function<void()> on_idle_;
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -19,16 +19,18 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr double kRequestConnectionFraction =
-    0.9;  // of the clients' places: requests under way; the rest is for those that come
-constexpr double kDefaultGuaranteeFraction =
-    0.5;  // of a budget: what no pool has guaranteed for is guaranteed to them in equal parts
-constexpr Millis kMaxReadDelayMs = 1000;      // of a connection that was turned away
-constexpr Millis kBudgetRetryAfterMs = 1000;  // advice where a budget that pools share is used up
+// Fraction of the client connections that may have a request in progress; the rest is for new connections.
+constexpr double kRequestConnectionFraction = 0.9;
+// Fraction of each budget that is guaranteed to pools. What the file's own guarantees leave of it is divided
+// equally among the pools that state none.
+constexpr double kDefaultGuaranteeFraction = 0.5;
+constexpr Millis kMaxReadDelayMs = 1000;      // longest read delay after a refusal or failure
+constexpr Millis kBudgetRetryAfterMs = 1000;  // Retry-After when a shared budget is exhausted
 
 void WriteLogLine(const std::string& text) { std::fprintf(stderr, "forkwick: %s\n", text.c_str()); }
 
-// Idle connections are closed for want of places alone: no front counts them here, as the platform's does.
+// Raises the soft limit to the hard one, so that idle connections are closed only when no connection is left:
+// unlike on the platform, no front end counts idle connections against what its clients may open.
 HttpServerLimits HttpLimits(const config::Services& services) {
   HttpServerLimits limits =
       HttpServerLimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
@@ -42,7 +44,7 @@
   return text;
 }
 
-// "480m" and "480000u" as the platform writes it, or a time with its unit.
+// Parses the platform's "480m" (ms) and "480000u" (us), or a duration in the units of the operators' file.
 std::optional<Millis> ParseDeadlineHeader(std::string_view text) {
   if (const auto platform = ParseDeadline(text)) return platform;
   return config::ParseDuration(text);
@@ -50,7 +52,8 @@
 
 }  // namespace
 
-// A pool that runs: made from one file, and kept by later ones that define it alike.
+// A running pool with its limits and host source. Kept across reloads as long as its definition stays the
+// same.
 struct ServiceGateway::PoolEntry {
   explicit PoolEntry(const config::Pool& from)
       : id(from.id),
@@ -69,7 +72,7 @@
   bool is_draining = false;
 };
 
-// What one request uses of its pool's limits, from its admission to its answer.
+// A request's share of its pool's limits. Held from admission to the response; the destructor releases it.
 struct ServiceGateway::Admission {
   Admission(ServiceGateway& owner, std::shared_ptr<PoolEntry> of)
       : gateway(owner), alive(owner.alive_), entry(std::move(of)) {}
@@ -118,7 +121,8 @@
   if (const auto error = Reload(std::move(services))) throw std::runtime_error(*error);
 }
 
-// A request holds its pool by its ticket, and the pool holds the request.
+// Pools and their pending requests refer to each other (a request's Admission holds the pool): break the
+// cycle.
 ServiceGateway::~ServiceGateway() {
   for (const auto& entry : snapshot_->pools) entry->pool->DropPending();
   for (const auto& entry : draining_) entry->pool->DropPending();
@@ -130,7 +134,7 @@
   const auto max_of = [](const config::BudgetShare& portion) {
     return portion.max > 0 ? portion.max : limits::SharedBudget::kUnlimited;
   };
-  // Guarantees follow once the new file holds.
+  // DistributeBudgets sets the guarantees once the whole configuration is known to be valid.
   entry->descriptors = descriptors_.AddParticipant(0, max_of(from.descriptors));
   entry->client_connections = client_connections_.AddParticipant(0, max_of(from.clients));
   entry->body_memory = body_memory_.AddParticipant(0, max_of(from.body_memory));
@@ -164,9 +168,8 @@
   return entry;
 }
 
-// Has the pool told of its hosts, from now on.
 void ServiceGateway::StartHostSource(PoolEntry& entry, const config::Pool& from) {
-  PoolEntry* const to = &entry;  // it outlives its source, which it holds
+  PoolEntry* const to = &entry;  // owns the source and so outlives it
   HostSource::Handlers handlers{
       [this, to](const HostList& list) { OnMembershipUpdate(*to, list); },
       [to] { to->pool->MembershipUpdateFailed(); },
@@ -175,8 +178,6 @@
   entry.source->Start();
 }
 
-// Deals out the budgets anew: what pools ask for is theirs; of what is left, half goes to the others in equal
-// parts, and the rest to whoever needs it.
 void ServiceGateway::DistributeBudgets(const Snapshot& snapshot) {
   const auto distribute = [&](limits::SharedBudget& budget, config::BudgetShare config::Pool::*portion,
                               limits::SharedBudget::ParticipantId PoolEntry::*participant) {
@@ -242,7 +243,7 @@
     undo();
     return error.what();
   }
-  // Nothing can fail from here on.
+  // Nothing below can fail.
   const auto before = std::exchange(snapshot_, next);
   DistributeBudgets(*next);
   for (std::size_t i = 0; i < next->pools.size(); ++i) {
@@ -250,7 +251,7 @@
     if (entry.source) entry.source->SetStaticHosts(services->pools[i].membership.hosts);
   }
   for (const auto& [entry, pool] : made) {
-    // A discovery service takes a moment to answer: until then the hosts are those that the old pool knew.
+    // A discovery service takes a moment to answer: until then use the hosts that the replaced pool knew.
     const auto found = running.find(entry->id);
     if (found != running.end() && pool->membership.source == config::Membership::Source::kDiscovery) {
       const HostList known = nodes_.HostsOf(found->second->registry_id);
@@ -267,7 +268,9 @@
     if (before->services->descriptors != services->descriptors ||
         before->services->memory != services->memory ||
         before->services->health_path != services->health_path) {
-      WriteLogLine("process.descriptors, process.memory and process.health_path count from the next start");
+      WriteLogLine(
+          "process.descriptors, process.memory or process.health_path changed: takes effect at the next "
+          "start");
     }
   }
   for (const auto& entry : before->pools) {
@@ -303,7 +306,6 @@
   }
 }
 
-// A pool that no file names any more takes nothing new, ends what it has, and follows its hosts until then.
 void ServiceGateway::BeginDrain(const std::shared_ptr<PoolEntry>& entry) {
   entry->is_draining = true;
   draining_.push_back(entry);
@@ -315,7 +317,6 @@
   });
 }
 
-// Lets go of retired pools that have nothing left; from the loop, for the caller may be one of them.
 void ServiceGateway::RemoveDrainedPools() {
   if (std::exchange(removal_scheduled_, true)) return;
   asio::post(io_, [this, alive = std::weak_ptr(alive_)] {
@@ -344,7 +345,7 @@
   const auto snapshot = snapshot_;
   const config::Services& services = *snapshot->services;
   const config::RequestHeaders& names = services.headers;
-  // Of two fields with one name, this gateway and a host might each believe another.
+  // If a header is repeated, the gateway and a host might use different values.
   for (const std::string* const name :
        {&names.id, &names.class_name, &names.tenant, &names.key, &names.deadline, &names.retry}) {
     if (!name->empty() && head.count(*name) > 1)
@@ -361,6 +362,7 @@
     if (count == 1) route_request.headers.push_back({name, ToStringView(head[name])});
   }
   const auto match = services.table.Match(route_request);
+  // A host that decodes the path again must not see a path that would have been routed differently.
   for (const std::string& reading : routing::AlternativeReadings(target.path)) {
     routing::Request other = route_request;
     other.path = reading;
@@ -377,7 +379,6 @@
   return ApplyLimits(entry, request);
 }
 
-// What class the request is of, and what it tells of itself.
 std::optional<LocalReply> ServiceGateway::ClassifyRequest(const HttpRequest& head,
                                                           const config::RouteRule& rule,
                                                           const config::Pool& pool, ClientRequest& request) {
@@ -436,7 +437,6 @@
   return std::nullopt;
 }
 
-// Takes the request in by its pool's limits, or turns it away at once.
 std::optional<LocalReply> ServiceGateway::ApplyLimits(const std::shared_ptr<PoolEntry>& entry,
                                                       ClientRequest& request) {
   const auto refuse = [](http::status status, std::string text, Millis retry_after, std::string cause) {
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -1,5 +1,6 @@
-// The gateway for several services: the operators' file come to life. Listeners, routes and pools are swapped
-// whole at a reload; a request keeps the pool that it was routed to.
+// The gateway for several services, configured by the operators' file: listeners, routes, pools, and the
+// budgets that the pools share. A reload replaces the configuration as a whole; a request keeps the pool that
+// it was routed to.
 #ifndef OPALSWITCH_GATEWAY_SERVICE_GATEWAY_HPP_
 #define OPALSWITCH_GATEWAY_SERVICE_GATEWAY_HPP_
 
@@ -30,23 +31,24 @@
  public:
   using Services = std::shared_ptr<const config::Services>;
 
-  // Listens, and has the sources tell of hosts. Throws std::runtime_error that names what can't work.
+  // Opens the listeners and starts the host sources. Throws std::runtime_error with the reason if the
+  // configuration can't be applied.
   ServiceGateway(boost::asio::io_context& io, Services services, std::uint64_t seed);
   ~ServiceGateway();
 
-  // Takes over another file, whole or not at all. Pools whose definition is unchanged go on with all that
-  // they have learned; others start anew, and those that they replace finish what they have. Gives what stood
-  // in the way; nothing if the new file holds.
+  // Applies a new configuration atomically. Pools with an unchanged definition keep running with all that
+  // they have learned; others are created, and the pools that they replace drain. Returns the reason if the
+  // configuration can't be applied, in which case nothing changes; std::nullopt on success.
   std::optional<std::string> Reload(Services services);
 
   boost::asio::ip::tcp::endpoint address(const std::string& listener) const {
     return http_server_.address(listener);
   }
 
-  // As the platform's: see StopTimes.
+  // Shuts down gracefully as `times` say, then calls `done`.
   void Stop(std::function<void()> done, const StopTimes& times = StopTimes());
 
-  // What stands where, for tests and logs.
+  // Accessors for tests and logs.
   std::shared_ptr<const Pool> pool(const std::string& id) const;
   std::size_t draining_pools() const { return draining_.size(); }
   const NodeRegistry& nodes() const { return nodes_; }
@@ -55,29 +57,41 @@
  private:
   struct PoolEntry;
   struct Admission;
-  // What one file came to. Never changed; replaced.
+  // One applied configuration. Immutable; replaced as a whole.
   struct Snapshot {
     Services services;
-    std::vector<std::shared_ptr<PoolEntry>> pools;  // as services->pools
+    std::vector<std::shared_ptr<PoolEntry>> pools;  // in the order of services->pools
   };
 
+  // Routes a request by its head, reads its class and limits into `request`, and admits it to the pool.
+  // Returns the reply if the request is rejected.
   std::optional<LocalReply> HandleRequestHead(const HttpRequest& head, const routing::Target& target,
                                               const RequestOrigin& origin, ClientRequest& request);
+  // Determines the class and reads the request headers named in the configuration.
   std::optional<LocalReply> ClassifyRequest(const HttpRequest& head, const config::RouteRule& rule,
                                             const config::Pool& pool, ClientRequest& request);
+  // Admits the request under the pool's limits, or returns the refusal.
   std::optional<LocalReply> ApplyLimits(const std::shared_ptr<PoolEntry>& entry, ClientRequest& request);
 
-  // Throws std::exception if the pool can't work.
+  // Throws std::exception if the pool's settings are invalid.
   std::shared_ptr<PoolEntry> MakePool(const config::Pool& pool);
+  // Creates the pool's host source and starts it.
   void StartHostSource(PoolEntry& entry, const config::Pool& pool);
+  // Sets each pool's guarantee and maximum in the shared budgets. The guarantees that the file states are
+  // granted; the rest of the default part is divided equally among the pools that state none, and what then
+  // remains is available to all.
   void DistributeBudgets(const Snapshot& snapshot);
+  // Applies a pool's list, and passes drains that it reports on to the other pools that list the node.
   void OnMembershipUpdate(PoolEntry& entry, const HostList& list);
+  // Starts draining a pool that the configuration no longer contains: it gets no new requests, finishes those
+  // it has, and follows its hosts until then.
   void BeginDrain(const std::shared_ptr<PoolEntry>& entry);
+  // Removes draining pools that are idle. Deferred to the event loop, because the caller may be one of them.
   void RemoveDrainedPools();
 
   boost::asio::io_context& io_;
   const std::uint64_t seed_;
-  std::uint64_t pools_created_ = 0;  // pools and ids so far
+  std::uint64_t pools_created_ = 0;
   std::uint64_t request_ids_created_ = 0;
   limits::SharedBudget descriptors_, client_connections_, body_memory_;
   NodeRegistry nodes_;
@@ -86,6 +100,7 @@
   bool removal_scheduled_ = false;
   HttpServer http_server_;
   StopSequence stop_;
+  // Expires with this object: callbacks hold a weak_ptr and do nothing once it has.
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/gateway/stop_sequence.cpp
+++ b/src/gateway/stop_sequence.cpp
@@ -8,10 +8,10 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr Millis kFlushMs = 200;                // for the last answers to leave
-constexpr Millis kMaxCountedDeadlineMs = 3000;  // of a deadline, as the platform's grace counts it
-constexpr Millis kFailPendingAfterDeadlineMs =
-    300;  // from the longest deadline to the last answer: 400 ms before the end
+constexpr Millis kFlushMs = 200;                // for the last responses to be sent
+constexpr Millis kMaxCountedDeadlineMs = 3000;  // longer deadlines don't extend the platform's grace period
+// From the longest deadline to failing the pending requests: 400 ms before the platform kills the process.
+constexpr Millis kFailPendingAfterDeadlineMs = 300;
 
 }  // namespace
 
--- a/src/gateway/stop_sequence.hpp
+++ b/src/gateway/stop_sequence.hpp
@@ -1,4 +1,5 @@
-// A planned end: connections are taken for a while, served for a while, and what is left then is failed.
+// Graceful shutdown in phases: accept connections for a while, serve open connections for a while, drain, and
+// finally fail the requests that are still unanswered.
 #ifndef OPALSWITCH_GATEWAY_STOP_SEQUENCE_HPP_
 #define OPALSWITCH_GATEWAY_STOP_SEQUENCE_HPP_
 
@@ -11,28 +12,35 @@
 
 namespace opalswitch::gateway {
 
-// In times from the beginning.
+// The ends of the phases, in milliseconds since the start of the shutdown.
 struct StopTimes {
-  Millis stop_listening = 500;  // until then connections are taken: they go on coming for up to 400
-  Millis drain =
-      2200;  // until then those that are open are served as ever: their clients have nowhere better
-  Millis fail_pending = 3300;  // by then all is answered: the rest is failed
-
-  // The platform ends a gateway by force 700 ms after the longest deadline, which counts as 3 s at the most.
-  // The defaults are what that allows at 3 s; a shorter one leaves less, in the same parts.
+  // Stops accepting connections. New ones keep arriving for up to 400 ms after the gateway reports not ready.
+  Millis stop_listening = 500;
+  // Closes idle connections and ends keep-alive. Until then open connections are served as usual, because
+  // their clients have no better gateway to go to yet.
+  Millis drain = 2200;
+  // Fails all requests that are still unanswered.
+  Millis fail_pending = 3300;
+
+  // Returns the times for the deadlines in `settings`. The platform kills a gateway 700 ms after the longest
+  // deadline, which counts as at most 3 s. The defaults fit a deadline of 3 s; shorter deadlines scale the
+  // phases down.
   static StopTimes ForSettings(const Settings& settings);
 };
 
+// Runs one shutdown on the event loop. Does not own the HTTP server, which must outlive it.
 class StopSequence {
  public:
-  // `fail_pending` answers all that is not answered yet.
+  // `fail_pending` must answer all requests that are still unanswered.
   StopSequence(boost::asio::io_context& io, HttpServer& http_server, std::function<void()> fail_pending);
 
   bool has_begun() const { return has_begun_; }
-  // Calls `done` at the end. Once begun it goes its way: a second call does nothing.
+  // Starts the shutdown; further calls have no effect. `done` is called when all connections are closed after
+  // the drain has begun, and again at the end of the last phase if the event loop still runs.
   void Begin(std::function<void()> done, const StopTimes& times);
 
  private:
+  // Calls `next` after `wait` ms.
   template <typename Next>
   void RunAfter(Millis wait, Next next);
 
--- a/src/ledger/losses.cpp
+++ b/src/ledger/losses.cpp
@@ -58,7 +58,7 @@
   if (now < lines_taken_at_ + kLogIntervalMs) return {};
   lines_taken_at_ = now;
   std::vector<std::string> lines;
-  if (!std::exchange(has_losses_, false)) return lines;  // what was served meanwhile counts in the next line
+  if (!std::exchange(has_losses_, false)) return lines;  // served requests stay counted for the next line
   for (const std::string& name : class_names_) {
     ClassCounts& counts = counts_by_class_[name];
     const ClassCounts taken = std::exchange(counts, ClassCounts{counts.worth, 0, 0, 0, 0, 0, 0, {}});
--- a/src/ledger/losses.hpp
+++ b/src/ledger/losses.hpp
@@ -1,5 +1,5 @@
-// What a pool's requests came to, by class and cause, told as log lines: from these a day's losses can be
-// added up by second (tools/loss_budget). Pure: no I/O, no clock.
+// Counts the outcomes of a pool's requests by class and cause, and formats them as log lines, from which
+// tools/loss_budget adds up the losses of a day. No I/O, no clock.
 #ifndef OPALSWITCH_LEDGER_LOSSES_HPP_
 #define OPALSWITCH_LEDGER_LOSSES_HPP_
 
@@ -14,27 +14,30 @@
 
 namespace opalswitch::ledger {
 
-// How a request ended for its client.
+// How a request ended for its client: answered within the class's aim or later, refused, failed, or the
+// client disconnected before the response.
 enum class RequestOutcome { kInTime, kLate, kRefused, kFailed, kGone };
 
 class LossRecorder {
  public:
-  // Every so many ms at the most a class has a line; none where nothing was lost.
+  // Minimum interval between two log lines of a class. Nothing is logged while nothing is lost.
   static constexpr Millis kLogIntervalMs = 1000;
 
   explicit LossRecorder(const std::vector<ClassSettings>& classes);
 
-  // One request has ended, `elapsed` ms after it came. `cause` is one word; empty for what was served.
+  // Records a request that ended `elapsed` ms after it was received. `cause` is its Forkwick-Cause; used only
+  // for refused and failed requests.
   void RecordRequest(const std::string& class_name, RequestOutcome outcome, std::string_view cause,
                      Millis elapsed);
-  // An attempt ended without serving anybody; `spent` ms of a server's time at the most.
+  // Records an attempt whose work was lost. `spent` (ms) is the upper bound of the server time that it took.
   void RecordWastedAttempt(const std::string& class_name, Result result, Millis spent);
 
-  // The lines of what ended since the last ones, if it is time and something was lost:
+  // Returns and resets the counts since the last lines, one line a class, if kLogIntervalMs has passed and
+  // something was lost; otherwise nothing:
   //   losses class=view at=17.0 worth=5 ended=41 in_time=30 late=3 refused.rate=6 failed.ran=1 gone=1
   //   wasted.reset=2 wasted_ms=80
-  // `at` is `now` in seconds; waited_ms is the sum over what was refused or failed, wasted_ms that of
-  // attempts.
+  // `at` is `now` in seconds; waited_ms is the total time of refused and failed requests, wasted_ms that of
+  // lost attempts.
   std::vector<std::string> TakeLogLines(Millis now);
 
  private:
@@ -42,17 +45,17 @@
     double worth = 0;
     std::uint64_t ended = 0, in_time = 0, late = 0, gone = 0;
     Millis waited = 0, wasted = 0;
-    std::map<std::string, std::uint64_t> causes;  // by "refused.rate" and the like: words of a closed list
+    std::map<std::string, std::uint64_t> causes;  // by key, such as "refused.rate"; a closed set
   };
 
-  std::unordered_map<std::string, ClassCounts>
-      counts_by_class_;                   // of classes alone: what names none is in one of its own
-  std::vector<std::string> class_names_;  // in the settings' order
+  // Configured classes only: requests that name another class are not counted, as clients choose the names.
+  std::unordered_map<std::string, ClassCounts> counts_by_class_;
+  std::vector<std::string> class_names_;  // in the order of the settings
   Millis lines_taken_at_ = 0;
   bool has_losses_ = false;
 };
 
-// The word for how an attempt ended.
+// Returns the name of a result as used in log lines.
 const char* ResultName(Result result);
 
 }  // namespace opalswitch::ledger
--- a/src/limits/read_throttle.hpp
+++ b/src/limits/read_throttle.hpp
@@ -1,9 +1,8 @@
-// How fast clients that were turned away are read from again. An answer is never held back; but a connection
-// that had a refusal, or a failure, is read from for its next request only when its turn comes. So a pool
-// whose clients ask again at once, and are turned away again at once, can't take the loop's time from the
-// others'.
+// Limits the rate at which client connections are read again after a refusal or failure. Responses are never
+// delayed; only the read of the connection's next request is. So clients that retry immediately, and are
+// refused again, can't take the event loop's time from the clients of other pools.
 //
-// Pure: times are milliseconds on any monotonic clock, given by the caller.
+// No I/O, no clock: times are milliseconds on any monotonic clock, given by the caller.
 #ifndef OPALSWITCH_LIMITS_READ_THROTTLE_HPP_
 #define OPALSWITCH_LIMITS_READ_THROTTLE_HPP_
 
@@ -15,10 +14,12 @@
 
 class ReadThrottle {
  public:
-  // `per_s`: connections read from again each second, over all of a pool. `most`: longest pause of one.
+  // `reads_per_s`: delayed reads a second over all connections of a pool. `max_delay`: longest delay of one
+  // read.
   ReadThrottle(double reads_per_s, Millis max_delay) : interval_(1000 / reads_per_s), max_delay_(max_delay) {}
 
-  // How long a connection that was turned away now is to pause. A few at a time pause for nothing.
+  // Returns the delay before the next read of a connection refused at `now`. Bursts of up to kBurst are not
+  // delayed.
   Millis NextDelay(Millis now) {
     constexpr double kBurst = 20;
     next_read_at_ = std::max(next_read_at_, now - kBurst * interval_) + interval_;
--- a/src/limits/request_limiter.cpp
+++ b/src/limits/request_limiter.cpp
@@ -5,8 +5,8 @@
 namespace opalswitch::limits {
 namespace {
 
-constexpr Millis kActiveLimitRetryAfterMs =
-    250;  // a place comes free when any of many requests ends: soon, and not at once
+// Short: a slot becomes free as soon as any of the active requests ends.
+constexpr Millis kActiveLimitRetryAfterMs = 250;
 
 }  // namespace
 
--- a/src/limits/request_limiter.hpp
+++ b/src/limits/request_limiter.hpp
@@ -1,7 +1,7 @@
-// What a pool takes in at all, before its module decides: requests a second, and requests held at once.
+// Limits the requests that a pool accepts before its decision module sees them: requests a second (token
+// bucket) and requests active at once. Rejected requests are answered immediately, with advice when to retry.
 //
-// Who is turned away here is answered at once and told when to come back. Times are milliseconds on any
-// monotonic clock, given by the caller. No I/O; one thread.
+// Times are milliseconds on any monotonic clock, given by the caller. No I/O; not thread-safe.
 #ifndef OPALSWITCH_LIMITS_REQUEST_LIMITER_HPP_
 #define OPALSWITCH_LIMITS_REQUEST_LIMITER_HPP_
 
@@ -13,8 +13,8 @@
 
 struct PoolLimits {
   double requests_per_s = 0;   // 0 = no limit
-  double burst = 0;            // requests that may come at once within that rate; 0 = a second's worth
-  std::size_t max_active = 0;  // taken and not answered, in flight and queued; 0 = no limit
+  double burst = 0;            // size of the token bucket; 0 = one second's worth, at least 1
+  std::size_t max_active = 0;  // admitted and unanswered, in flight or queued; 0 = no limit
   bool operator==(const PoolLimits&) const = default;
 };
 
@@ -23,12 +23,12 @@
   enum class Decision { kAdmitted, kTooManyActive, kRateExceeded };
   struct Admission {
     Decision decision = Decision::kAdmitted;
-    Millis retry_after = 0;  // of a refusal
+    Millis retry_after = 0;  // advice for the client if the request is refused
   };
 
   explicit RequestLimiter(const PoolLimits& limits) : limits_(limits), tokens_(MaxTokens()) {}
 
-  // A request that enters is held until Release.
+  // Decides on a request at time `now`. An admitted request counts as active until Release is called for it.
   Admission TryAdmit(Millis now);
   void Release() { active_ -= active_ > 0 ? 1 : 0; }
 
--- a/src/limits/shared_budget.hpp
+++ b/src/limits/shared_budget.hpp
@@ -1,7 +1,8 @@
-// A budget (descriptors, bytes, places) that several parties share, each with a part that no other can take.
+// A budget (descriptors, client connections, bytes) shared by several participants, each with a guaranteed
+// minimum.
 //
-// A party may use its guaranteed part at any time, and beyond it what neither others use nor is guaranteed to
-// them, up to its own most. No I/O, no clock; one thread.
+// A participant can always use its guarantee. Beyond it, it can use what others neither use nor are
+// guaranteed, up to its own maximum. No I/O, no clock; not thread-safe.
 #ifndef OPALSWITCH_LIMITS_SHARED_BUDGET_HPP_
 #define OPALSWITCH_LIMITS_SHARED_BUDGET_HPP_
 
@@ -19,17 +20,17 @@
 
   explicit SharedBudget(Amount total) : total_(total) {}
 
-  // Guarantees may add up to more than the total for a while (a pool that drains beside the one that replaces
-  // it): what is in use never exceeds the total all the same.
+  // Adds a participant. The guarantees may exceed the total for a while (a draining pool beside its
+  // replacement); the amount in use never does.
   ParticipantId AddParticipant(Amount guaranteed, Amount max = kUnlimited);
-  // Its guarantee ends; what it still holds stays counted until it is given back.
+  // Ends the participant's guarantee. What it still uses counts until it is released.
   void RemoveParticipant(ParticipantId id);
   void SetLimits(ParticipantId id, Amount guaranteed, Amount max = kUnlimited);
   void Resize(Amount total) { total_ = total; }
 
-  // False, and nothing taken, if there is no room for all of it.
+  // Acquires `amount` or nothing; returns false if not all of it is available.
   bool TryAcquire(ParticipantId id, Amount amount = 1);
-  // At most what the party holds.
+  // Releases `amount`, at most what the participant uses.
   void Release(ParticipantId id, Amount amount = 1);
 
   Amount total() const { return total_; }
@@ -41,11 +42,12 @@
   struct Participant {
     Amount guaranteed = 0, max = 0, used = 0;
     bool is_removed = false;
+    // What others can't use: the larger of `used` and `guaranteed`.
     Amount Reserved() const { return used > guaranteed ? used : guaranteed; }
   };
   Amount total_;
   Amount used_ = 0;
-  Amount reserved_ = 0;  // the greater of used and guaranteed, summed
+  Amount reserved_ = 0;  // sum of Reserved() over all participants
   ParticipantId next_id_ = 1;
   std::map<ParticipantId, Participant> participants_;
 };
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -23,13 +23,14 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr double kIdleTimeoutFraction =
-    1.0 / 3;                             // part of the hosts' idle limit after which a connection is closed
-constexpr int kMaxInterimResponses = 8;  // 1xx answers ahead of the final one
-constexpr int kReceiveBufferBytes = 64 * 1024;      // before the system doubles it
-constexpr std::size_t kMaxReadBufferBytes = 32768;  // holds a whole head; bodies pass through it
-
-// Only 503 and 504 with Srv-Declined prove that a request never ran.
+// Idle connections are closed after this fraction of the hosts' idle timeout, well before the host may close
+// them.
+constexpr double kIdleTimeoutFraction = 1.0 / 3;
+constexpr int kMaxInterimResponses = 8;             // 1xx responses before the final one
+constexpr int kReceiveBufferBytes = 64 * 1024;      // the kernel doubles it
+constexpr std::size_t kMaxReadBufferBytes = 32768;  // holds a whole response header; bodies pass through it
+
+// Maps a response to a result. Only 503 and 504 with Srv-Declined prove that the request never ran.
 Result ToResult(const HttpResponse& response, bool plain) {
   const http::status status = response.result();
   if (plain ? response.result_int() < 500 : status == http::status::ok) return Result::kServed;
@@ -38,13 +39,14 @@
   return may_decline && response["Srv-Declined"] == "1" ? Result::kRejected : Result::kError;
 }
 
-// Answers that end with their head, whatever it says of a length (RFC 9112 6.3).
+// Whether a response ends with its header section whatever its Content-Length says (RFC 9112 6.3).
 bool HasNoBody(http::verb method, unsigned status) {
   return method == http::verb::head || status == 204 || status == 304;
 }
 
-// The request as it goes to a host, with what is left of its time. Written by hand: the library's way copies
-// the message and goes through a stream, which costs more than all decisions together.
+// Serializes the request as sent to a host, with the remaining time as Req-Deadline. Not done with Beast's
+// serializer: that copies the message and uses a stream, which costs more than all of the module's decisions
+// for the request.
 std::string Serialize(const HttpRequest& request, std::int64_t remaining_ms) {
   const auto connection_options = NamedByConnection(request);
   const http::verb method = request.method();
@@ -65,7 +67,8 @@
   }
   const std::size_t size = request.body().size();
   if (size > 0 || method == http::verb::post || method == http::verb::put || method == http::verb::options) {
-    add("Content-Length: "sv, std::to_string(size), "\r\n"sv);  // RFC 9110 8.6: where a body may be expected
+    add("Content-Length: "sv, std::to_string(size),
+        "\r\n"sv);  // RFC 9110 8.6: for methods that anticipate content
   }
   add("Req-Deadline: "sv, std::to_string(std::max<std::int64_t>(1, remaining_ms)), "m\r\n\r\n"sv,
       request.body());
@@ -74,10 +77,12 @@
 
 }  // namespace
 
-// A connection, from its dial to its close. Between requests nothing is read: whatever can be read then, a
-// close or bytes that no request asked for, ends the connection.
+// One connection, from connect to close. While it is idle, any readable event (a close, or bytes that no
+// request asked for) closes it. Owned by its pending asynchronous operations, HostPool::in_flight_ and the
+// idle lists.
 class HostPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
+  // One request and its response on this connection.
   struct Exchange {
     std::uint64_t attempt;
     std::shared_ptr<const HttpRequest> request;
@@ -88,13 +93,13 @@
   Connection(HostPool& pool, std::string host, tcp::endpoint address)
       : pool_(pool), host_(std::move(host)), address_(address), socket_(pool.io_), timer_(pool.io_) {}
 
-  // False if no descriptor is to be had.
+  // Returns false if the system has no descriptor left.
   bool Open() {
     error_code ec;
     socket_.open(address_.protocol(), ec);
     if (ec) return false;
     socket_.set_option(tcp::no_delay(true), ec);
-    // A host that sends without end fills no more than this of the kernel's memory, and of its time.
+    // Bounds the kernel memory and time that a host sending an endless response can take.
     if (pool_.limits_.plain)
       socket_.set_option(asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ec);
     ++pool_.connections_;
@@ -116,8 +121,8 @@
     StartWrite();
   }
 
-  // Whether the host has neither closed an idle connection nor sent anything on it. The pending wait may not
-  // have been told yet, so the socket itself is asked.
+  // Whether the host has neither closed the connection nor sent unsolicited bytes. Peeks at the socket,
+  // because the pending wait may not have been notified yet.
   bool IsReusable() {
     char byte = 0;
     return is_open_ && buffer_.size() == 0 &&
@@ -126,7 +131,7 @@
   }
   Millis idle_since() const { return idle_since_; }
 
-  // Ends the exchange, if there is one, and the connection with it.
+  // Closes the connection and completes the current exchange, if any, with `result`.
   void Fail(Result result) {
     Close();
     Complete(result, {});
@@ -147,7 +152,7 @@
     write_buffer_.clear();
     bytes_written_ = 0;
     interim_responses_ = 0;
-    ++generation_;  // the wait of an idle connection means nothing any more
+    ++generation_;  // invalidates the pending wait of the idle connection
     pool_.in_flight_[exchange_->attempt] = shared_from_this();
   }
 
@@ -169,7 +174,7 @@
   bool IsRequestWritten() const { return !write_buffer_.empty() && bytes_written_ == write_buffer_.size(); }
 
   void OnTimeout() {
-    if (Now() < timer_deadline_ - 1) return;  // set anew when this wait was already due
+    if (Now() < timer_deadline_ - 1) return;  // the timer was reset after this wait had expired
     if (!exchange_) {
       pool_.RemoveIdle(host_, this);
       return Close();
@@ -179,7 +184,7 @@
 
   void OnConnected(error_code ec) {
     if (ec) return Fail(Result::kConnectFailed);
-    // The dial took time: the host may have begun to drain, or may have moved.
+    // The host may have started draining, or changed its address, during the connect.
     if (!pool_.IsUsable(host_, address_)) return Fail(Result::kNotSent);
     SetTimer(exchange_->deadline);
     StartWrite();
@@ -195,15 +200,16 @@
     ContinueWrite();
   }
 
-  // Counts what the kernel took at the moment it takes it: an asynchronous write would tell later, and a
-  // time-out in between would call a request never sent that its host has.
+  // Uses non-blocking writes so that bytes_written_ is exact at any time: an asynchronous write reports
+  // completion later, and a timeout in between would count a request that the host has received as never
+  // sent.
   void ContinueWrite() {
     error_code ec;
     while (bytes_written_ < write_buffer_.size() && !ec) {
       bytes_written_ += socket_.write_some(asio::buffer(write_buffer_) + bytes_written_, ec);
     }
     if (ec && ec != asio::error::would_block)
-      return Fail(Result::kConnectFailed);  // its last byte never left
+      return Fail(Result::kConnectFailed);  // the request was not sent completely
     if (IsRequestWritten()) return ReadHeader();
     socket_.async_wait(tcp::socket::wait_write,
                        [self = shared_from_this(), generation = generation_](error_code) {
@@ -222,11 +228,11 @@
                             });
   }
 
-  // What can't be read, or can't be proved whole, is no answer: the request may have run.
+  // A response that can't be parsed, or whose end can't be determined, is a reset: the request may have run.
   void OnHeaderRead(error_code ec) {
     if (ec) return Fail(Result::kReset);
     const auto& head = parser_->get();
-    if (head.result_int() / 100 == 1) {  // by number: the library has no name for all of them
+    if (head.result_int() / 100 == 1) {  // by number: Beast's enum does not contain all of them
       if (++interim_responses_ > kMaxInterimResponses || head.result() == http::status::switching_protocols) {
         return Fail(Result::kReset);
       }
@@ -248,11 +254,11 @@
   }
 
   void OnResponseRead(error_code ec) {
-    // Seen with Boost 1.74: an answer one byte over the parser's own limit got through.
+    // Boost 1.74's parser lets a body through that is one byte over its limit.
     if (ec || parser_->get().body().size() > pool_.limits_.max_response_bytes) return Fail(Result::kReset);
     HttpResponse response = parser_->release();
     const bool reusable = response.keep_alive() && IsReusable() && pool_.IsUsable(host_, address_);
-    // Back to the pool before the outcome is told, for it may lead to the next send.
+    // Return the connection before completing: the completion may start the next request.
     if (reusable) {
       ReturnToPool();
     } else {
@@ -287,9 +293,9 @@
   boost::beast::flat_buffer buffer_{kMaxReadBufferBytes};
   std::optional<http::response_parser<http::string_body>> parser_;
   std::string write_buffer_;
-  std::size_t bytes_written_ = 0;  // bytes of it that the kernel has taken
+  std::size_t bytes_written_ = 0;  // bytes of write_buffer_ that the kernel has accepted
   int interim_responses_ = 0;
-  http::verb method_ = http::verb::unknown;  // of the request that is answered
+  http::verb method_ = http::verb::unknown;  // of the current request
   std::uint64_t generation_ = 0;
   std::optional<Exchange> exchange_;
   bool is_open_ = false;
@@ -354,7 +360,7 @@
 void HostPool::Cancel(std::uint64_t attempt) {
   const auto found = in_flight_.find(attempt);
   if (found == in_flight_.end()) return;
-  const auto connection = found->second;  // End takes it out of the map
+  const auto connection = found->second;  // Fail removes it from the map
   connection->Fail(Result::kCancelled);
 }
 
@@ -362,15 +368,14 @@
   for (const auto& connection : std::exchange(host.idle, {})) connection->Close();
 }
 
-// Room for one more connection: by the pool's own limit, and out of what all pools share. An idle connection
-// of this pool gives way for it, never one of another.
+// If a limit is reached, closes an idle connection of this pool, never one of another pool.
 bool HostPool::ReserveConnection() {
   if (connections_ >= limits_.max_connections && !CloseLongestIdle()) return false;
   if (!limits_.acquire_socket) return true;
   return limits_.acquire_socket() || (CloseLongestIdle() && limits_.acquire_socket());
 }
 
-// Makes room by closing the connection that has been idle for longest. Each host's are in that order.
+// Each host's idle connections are ordered by idle_since().
 bool HostPool::CloseLongestIdle() {
   HostState* oldest = nullptr;
   for (auto& [id, host] : hosts_) {
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to hosts: one request on each at a time, the most recently used first.
+// HTTP/1.1 connections to the hosts of a pool. Each connection carries one request at a time; idle
+// connections are reused, most recently used first. Runs on one event loop; not thread-safe.
 #ifndef OPALSWITCH_UPSTREAM_HOST_POOL_HPP_
 #define OPALSWITCH_UPSTREAM_HOST_POOL_HPP_
 
@@ -23,50 +24,56 @@
  public:
   struct Limits {
     Millis dial_timeout = 250;
-    Millis idle_timeout = 15000;        // hosts close connections that stood idle for this long
-    std::size_t max_connections = 256;  // over all hosts
+    Millis idle_timeout = 15000;        // after which hosts close an idle connection
+    std::size_t max_connections = 256;  // over all hosts together
     std::uint64_t max_response_bytes = kMaxBodyBytes;
-    // Any answer below 500 is served, whatever it says. Else only 200 is.
+    // Whether any status below 500 counts as served; otherwise only 200 does.
     bool plain = false;
-    // Asks for a descriptor and gives one back, where several pools share them; empty = all are this one's.
+    // Acquire and release a descriptor of the budget that pools share; empty if the pool does not share its
+    // descriptors.
     std::function<bool()> acquire_socket = nullptr;
     std::function<void()> release_socket = nullptr;
   };
-  // How an attempt ended; the answer is that of the host, if there was one. Called once for each Start,
-  // perhaps before Start returns.
+  // Receives the result of an attempt and the host's response, if any. Called once for each Start, possibly
+  // before Start returns.
   using Completion = std::function<void(Result, HttpResponse)>;
 
   HostPool(boost::asio::io_context& io, Limits limits);
-  // Closes all connections. Attempts still out are never told of.
+  // Closes all connections. Attempts in flight are not completed.
   ~HostPool();
   HostPool(const HostPool&) = delete;
   HostPool& operator=(const HostPool&) = delete;
 
-  // Takes effect at once: a host that drains or is gone is sent nothing more, not even on a connection that
-  // is being dialled.
+  // Applies a host list. Takes effect immediately: a host that drains or is removed gets no further requests,
+  // not even on a connection that is still being established.
   void Update(const HostList& list);
 
-  // Sends the request unless the host is not to be used any more. Returns a number for Cancel.
+  // Sends the request to a host. Completes with kNotSent if the host is not up, the deadline has passed, or
+  // no connection is available. Returns the id of the attempt, for Cancel.
   std::uint64_t Start(const std::string& host, std::shared_ptr<const HttpRequest> request, Millis deadline,
                       Completion done);
-  // Ends an attempt that is still out, with kCancelled. Its connection is closed.
+  // Completes an attempt in flight with kCancelled and closes its connection. Has no effect on ended
+  // attempts.
   void Cancel(std::uint64_t attempt);
 
-  std::size_t connections() const { return connections_; }
-  std::size_t host_count() const { return hosts_.size(); }              // hosts that may be used
-  std::size_t attempts_in_flight() const { return in_flight_.size(); }  // attempts that are out
+  std::size_t connections() const { return connections_; }  // open connections, idle or not
+  std::size_t host_count() const { return hosts_.size(); }  // hosts that are up
+  std::size_t attempts_in_flight() const { return in_flight_.size(); }
 
  private:
   class Connection;
   struct HostState {
     boost::asio::ip::tcp::endpoint address;
     bool is_up = false;
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
+    std::vector<std::shared_ptr<Connection>> idle;  // most recently used last
   };
 
   void CloseIdleConnections(HostState& host);
+  // Closes the connection that has been idle the longest; false if none is idle.
   bool CloseLongestIdle();
+  // Makes room for one more connection under the pool's limit and the shared budget; false if there is none.
   bool ReserveConnection();
+  // Whether the host is up at this address.
   bool IsUsable(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
   void RemoveIdle(const std::string& host, const Connection* connection);
 
