--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -55,11 +55,12 @@
 // A running pool with its limits and host source. Kept across reloads as long as its definition stays the
 // same.
 struct ServiceGateway::PoolEntry {
-  explicit PoolEntry(const config::Pool& from)
-      : id(from.id),
-        definition(from.definition),
-        limiter(from.limits),
-        read_throttle(std::make_shared<limits::ReadThrottle>(from.refusal_reads_per_s, kMaxReadDelayMs)) {}
+  explicit PoolEntry(const config::Pool& pool_config)
+      : id(pool_config.id),
+        definition(pool_config.definition),
+        limiter(pool_config.limits),
+        read_throttle(
+            std::make_shared<limits::ReadThrottle>(pool_config.refusal_reads_per_s, kMaxReadDelayMs)) {}
 
   const std::string id;
   const std::string definition;
@@ -74,8 +75,8 @@
 
 // A request's share of its pool's limits. Held from admission to the response; the destructor releases it.
 struct ServiceGateway::Admission {
-  Admission(ServiceGateway& owner, std::shared_ptr<PoolEntry> of)
-      : gateway(owner), alive(owner.alive_), entry(std::move(of)) {}
+  Admission(ServiceGateway& owner, std::shared_ptr<PoolEntry> pool_entry)
+      : gateway(owner), alive(owner.alive_), entry(std::move(pool_entry)) {}
   ~Admission() {
     if (alive.expired()) return;
     entry->limiter.Release();
@@ -101,9 +102,9 @@
       http_server_(
           io, HttpLimits(*services),
           {[this] {
-             const auto listed = [](const auto& entry) { return entry->pool->has_hosts(); };
+             const auto has_hosts = [](const auto& entry) { return entry->pool->has_hosts(); };
              return snapshot_ && !stop_.has_begun() &&
-                    std::any_of(snapshot_->pools.begin(), snapshot_->pools.end(), listed);
+                    std::any_of(snapshot_->pools.begin(), snapshot_->pools.end(), has_hosts);
            },
            [this](const HttpRequest& head, const routing::Target& target, const RequestOrigin& origin,
                   ClientRequest& request) { return HandleRequestHead(head, target, origin, request); },
@@ -128,26 +129,26 @@
   for (const auto& entry : draining_) entry->pool->DropPending();
 }
 
-std::shared_ptr<ServiceGateway::PoolEntry> ServiceGateway::MakePool(const config::Pool& from) {
+std::shared_ptr<ServiceGateway::PoolEntry> ServiceGateway::MakePool(const config::Pool& pool_config) {
   auto entry = std::make_shared<PoolEntry>(from);
   entry->registry_id = ++pools_created_;
-  const auto max_of = [](const config::BudgetShare& portion) {
-    return portion.max > 0 ? portion.max : limits::SharedBudget::kUnlimited;
+  const auto max_of = [](const config::BudgetShare& share) {
+    return share.max > 0 ? share.max : limits::SharedBudget::kUnlimited;
   };
   // DistributeBudgets sets the guarantees once the whole configuration is known to be valid.
-  entry->descriptors = descriptors_.AddParticipant(0, max_of(from.descriptors));
-  entry->client_connections = client_connections_.AddParticipant(0, max_of(from.clients));
-  entry->body_memory = body_memory_.AddParticipant(0, max_of(from.body_memory));
-  Settings settings = from.settings;
-  const auto max_descriptors = std::min<std::uint64_t>(descriptors_.total(), max_of(from.descriptors));
+  entry->descriptors = descriptors_.AddParticipant(0, max_of(pool_config.descriptors));
+  entry->client_connections = client_connections_.AddParticipant(0, max_of(pool_config.clients));
+  entry->body_memory = body_memory_.AddParticipant(0, max_of(pool_config.body_memory));
+  Settings settings = pool_config.settings;
+  const auto max_descriptors = std::min<std::uint64_t>(descriptors_.total(), max_of(pool_config.descriptors));
   const auto wanted = static_cast<std::uint64_t>(settings.max_in_flight);
   settings.max_in_flight = static_cast<int>(wanted > 0 ? std::min(wanted, max_descriptors) : max_descriptors);
   HostPool::Limits upstream;
-  upstream.dial_timeout = from.dial_timeout;
-  upstream.idle_timeout = from.idle_timeout;
+  upstream.dial_timeout = pool_config.dial_timeout;
+  upstream.idle_timeout = pool_config.idle_timeout;
   upstream.max_connections = static_cast<std::size_t>(max_descriptors);
-  upstream.max_response_bytes = from.max_response_bytes;
-  upstream.plain = from.response_rules == config::ResponseRules::kPlain;
+  upstream.max_response_bytes = pool_config.max_response_bytes;
+  upstream.plain = pool_config.response_rules == config::ResponseRules::kPlain;
   upstream.acquire_socket = [this, participant = entry->descriptors] {
     return descriptors_.TryAcquire(participant);
   };
@@ -156,36 +157,36 @@
   };
   try {
     entry->pool = std::make_shared<Pool>(
-        io_,
-        Pool::Options{from.id, std::move(settings), seed_ ^ (0x9e3779b97f4a7c15ULL * pools_created_),
-                      std::move(upstream), from.response_rules == config::ResponseRules::kPlain, nullptr});
+        io_, Pool::Options{pool_config.id, std::move(settings),
+                           seed_ ^ (0x9e3779b97f4a7c15ULL * pools_created_), std::move(upstream),
+                           pool_config.response_rules == config::ResponseRules::kPlain, nullptr});
   } catch (const std::exception& error) {
     descriptors_.RemoveParticipant(entry->descriptors);
     client_connections_.RemoveParticipant(entry->client_connections);
     body_memory_.RemoveParticipant(entry->body_memory);
-    throw std::runtime_error("pool " + from.id + ": " + error.what());
+    throw std::runtime_error("pool " + pool_config.id + ": " + error.what());
   }
   return entry;
 }
 
-void ServiceGateway::StartHostSource(PoolEntry& entry, const config::Pool& from) {
-  PoolEntry* const to = &entry;  // owns the source and so outlives it
+void ServiceGateway::StartHostSource(PoolEntry& entry, const config::Pool& pool_config) {
+  PoolEntry* const owner = &entry;  // owns the source and so outlives it
   HostSource::Handlers handlers{
-      [this, to](const HostList& list) { OnMembershipUpdate(*to, list); },
-      [to] { to->pool->MembershipUpdateFailed(); },
-      [to](const std::string& text) { WriteLogLine("pool " + to->id + ": " + text); }};
-  entry.source = MakeHostSource(io_, from.membership, std::move(handlers));
+      [this, owner](const HostList& list) { OnMembershipUpdate(*owner, list); },
+      [owner] { owner->pool->MembershipUpdateFailed(); },
+      [owner](const std::string& text) { WriteLogLine("pool " + owner->id + ": " + text); }};
+  entry.source = MakeHostSource(io_, pool_config.membership, std::move(handlers));
   entry.source->Start();
 }
 
 void ServiceGateway::DistributeBudgets(const Snapshot& snapshot) {
-  const auto distribute = [&](limits::SharedBudget& budget, config::BudgetShare config::Pool::*portion,
+  const auto distribute = [&](limits::SharedBudget& budget, config::BudgetShare config::Pool::*share,
                               limits::SharedBudget::ParticipantId PoolEntry::*participant) {
     const auto& pools = snapshot.services->pools;
     std::uint64_t guaranteed = 0, without_guarantee = 0;
     for (const config::Pool& pool : pools) {
-      guaranteed += (pool.*portion).guaranteed;
-      without_guarantee += (pool.*portion).guaranteed == 0;
+      guaranteed += (pool.*share).guaranteed;
+      without_guarantee += (pool.*share).guaranteed == 0;
     }
     const auto default_total =
         static_cast<std::uint64_t>(static_cast<double>(budget.total()) * kDefaultGuaranteeFraction);
@@ -193,9 +194,10 @@
                                                 ? (default_total - guaranteed) / without_guarantee
                                                 : 0;
     for (std::size_t i = 0; i < pools.size(); ++i) {
-      const config::BudgetShare& p = pools[i].*portion;
-      budget.SetLimits(*snapshot.pools[i].*participant, p.guaranteed > 0 ? p.guaranteed : default_guarantee,
-                       p.max > 0 ? p.max : limits::SharedBudget::kUnlimited);
+      const config::BudgetShare& pool_share = pools[i].*share;
+      budget.SetLimits(*snapshot.pools[i].*participant,
+                       pool_share.guaranteed > 0 ? pool_share.guaranteed : default_guarantee,
+                       pool_share.max > 0 ? pool_share.max : limits::SharedBudget::kUnlimited);
     }
   };
   distribute(descriptors_, &config::Pool::descriptors, &PoolEntry::descriptors);
@@ -206,12 +208,12 @@
 std::optional<std::string> ServiceGateway::Reload(Services services) {
   auto next = std::make_shared<Snapshot>();
   next->services = services;
-  std::map<std::string, std::shared_ptr<PoolEntry>> running;
-  for (const auto& entry : snapshot_->pools) running[entry->id] = entry;
-  std::vector<std::pair<std::shared_ptr<PoolEntry>, const config::Pool*>> made;
+  std::map<std::string, std::shared_ptr<PoolEntry>> running_by_id;
+  for (const auto& entry : snapshot_->pools) running_by_id[entry->id] = entry;
+  std::vector<std::pair<std::shared_ptr<PoolEntry>, const config::Pool*>> created;
   std::vector<config::Listener> opened;
   const auto undo = [&] {
-    for (const auto& [entry, pool] : made) {
+    for (const auto& [entry, pool] : created) {
       descriptors_.RemoveParticipant(entry->descriptors);
       client_connections_.RemoveParticipant(entry->client_connections);
       body_memory_.RemoveParticipant(entry->body_memory);
@@ -220,13 +222,13 @@
   };
   try {
     for (const config::Pool& pool : services->pools) {
-      const auto found = running.find(pool.id);
-      if (found != running.end() && found->second->definition == pool.definition) {
+      const auto found = running_by_id.find(pool.id);
+      if (found != running_by_id.end() && found->second->definition == pool.definition) {
         next->pools.push_back(found->second);
         continue;
       }
       next->pools.push_back(MakePool(pool));
-      made.push_back({next->pools.back(), &pool});
+      created.push_back({next->pools.back(), &pool});
     }
     for (const config::Listener& listener : services->listeners) {
       const auto& old =
@@ -250,12 +252,12 @@
     PoolEntry& entry = *next->pools[i];
     if (entry.source) entry.source->SetStaticHosts(services->pools[i].membership.hosts);
   }
-  for (const auto& [entry, pool] : made) {
+  for (const auto& [entry, pool] : created) {
     // A discovery service takes a moment to answer: until then use the hosts that the replaced pool knew.
-    const auto found = running.find(entry->id);
-    if (found != running.end() && pool->membership.source == config::Membership::Source::kDiscovery) {
-      const HostList known = nodes_.HostsOf(found->second->registry_id);
-      if (!known.hosts.empty()) OnMembershipUpdate(*entry, known);
+    const auto found = running_by_id.find(entry->id);
+    if (found != running_by_id.end() && pool->membership.source == config::Membership::Source::kDiscovery) {
+      const HostList known_hosts = nodes_.HostsOf(found->second->registry_id);
+      if (!known_hosts.hosts.empty()) OnMembershipUpdate(*entry, known_hosts);
     }
     StartHostSource(*entry, *pool);
   }
@@ -280,25 +282,25 @@
 }
 
 void ServiceGateway::OnMembershipUpdate(PoolEntry& entry, const HostList& list) {
-  const auto known = nodes_.drains();
-  const auto news = nodes_.ApplyUpdate(entry.registry_id, list, Now());
-  const auto give = [&](const std::shared_ptr<PoolEntry>& to, const HostList& told) {
-    to->pool->UpdateMembership(told);
+  const auto drains_before = nodes_.drains();
+  const auto updates = nodes_.ApplyUpdate(entry.registry_id, list, Now());
+  const auto apply = [&](const std::shared_ptr<PoolEntry>& to, const HostList& hosts) {
+    to->pool->UpdateMembership(hosts);
   };
-  for (const NodeRegistry::PoolUpdate& item : news) {
-    if (item.pool == entry.registry_id) {
-      entry.pool->UpdateMembership(item.list);
+  for (const NodeRegistry::PoolUpdate& update : updates) {
+    if (update.pool == entry.registry_id) {
+      entry.pool->UpdateMembership(update.list);
       continue;
     }
     for (const auto& other : snapshot_->pools) {
-      if (other->registry_id == item.pool) give(other, item.list);
+      if (other->registry_id == update.pool) apply(other, update.list);
     }
     for (const auto& other : draining_) {
-      if (other->registry_id == item.pool) give(other, item.list);
+      if (other->registry_id == update.pool) apply(other, update.list);
     }
   }
   for (const auto& [id, drain] : nodes_.drains()) {
-    if (known.contains(id)) continue;
+    if (drains_before.contains(id)) continue;
     char at[32];
     std::snprintf(at, sizeof at, "%.0f", drain.since);
     WriteLogLine("node " + id + " drains since " + at + " (Unix ms), told by pool " + entry.id +
@@ -337,10 +339,10 @@
                                                             const routing::Target& target,
                                                             const RequestOrigin& origin,
                                                             ClientRequest& request) {
-  const auto fault = [](http::status status, std::string text) {
-    LocalReply f{status, std::move(text)};
-    f.keep_connection = true;
-    return f;
+  const auto reject = [](http::status status, std::string text) {
+    LocalReply reply{status, std::move(text)};
+    reply.keep_connection = true;
+    return reply;
   };
   const auto snapshot = snapshot_;
   const config::Services& services = *snapshot->services;
@@ -349,16 +351,16 @@
   for (const std::string* const name :
        {&names.id, &names.class_name, &names.tenant, &names.key, &names.deadline, &names.retry}) {
     if (!name->empty() && head.count(*name) > 1)
-      return fault(http::status::bad_request, *name + " is repeated");
+      return reject(http::status::bad_request, *name + " is repeated");
   }
   if (head.count("Idempotency-Key") > 1)
-    return fault(http::status::bad_request, "Idempotency-Key is repeated");
+    return reject(http::status::bad_request, "Idempotency-Key is repeated");
   routing::Request route_request{
       target.authority.host, target.path, ToStringView(head.method_string()),
       names.class_name.empty() ? std::string_view() : ToStringView(head[names.class_name]), origin.listener};
   for (const std::string& name : services.table.header_names()) {
     const auto count = head.count(name);
-    if (count > 1) return fault(http::status::bad_request, name + " is repeated");
+    if (count > 1) return reject(http::status::bad_request, name + " is repeated");
     if (count == 1) route_request.headers.push_back({name, ToStringView(head[name])});
   }
   const auto match = services.table.Match(route_request);
@@ -367,66 +369,70 @@
     routing::Request other = route_request;
     other.path = reading;
     if (services.table.Match(other) != match) {
-      return fault(http::status::bad_request, "the path would be another one once a host has decoded it");
+      return reject(http::status::bad_request, "the path would be another one once a host has decoded it");
     }
   }
-  if (!match) return fault(http::status::not_found, "no route");
+  if (!match) return reject(http::status::not_found, "no route");
   const config::RouteRule& rule = services.routes[*match];
   const std::shared_ptr<PoolEntry>& entry = snapshot->pools[rule.pool];
   request.client = origin.client.is_unspecified() ? "" : origin.client.to_string();
   request.read_throttle = entry->read_throttle;
-  if (auto wrong = ClassifyRequest(head, rule, services.pools[rule.pool], request)) return wrong;
+  if (auto rejection = ClassifyRequest(head, rule, services.pools[rule.pool], request)) return rejection;
   return ApplyLimits(entry, request);
 }
 
 std::optional<LocalReply> ServiceGateway::ClassifyRequest(const HttpRequest& head,
                                                           const config::RouteRule& rule,
                                                           const config::Pool& pool, ClientRequest& request) {
-  const auto fault = [](http::status status, std::string text, std::string allow = {}) {
-    LocalReply f{status, std::move(text), 0, std::move(allow)};
-    f.keep_connection = true;
-    return f;
+  const auto reject = [](http::status status, std::string text, std::string allow = {}) {
+    LocalReply reply{status, std::move(text), 0, std::move(allow)};
+    reply.keep_connection = true;
+    return reply;
   };
   const config::Services& services = *snapshot_->services;
   const config::RequestHeaders& names = services.headers;
-  const auto field = [&](const std::string& name) {
+  const auto header = [&](const std::string& name) {
     return name.empty() ? std::string() : std::string(ToStringView(head[name]));
   };
-  const config::ServiceClass* cls = nullptr;
+  const config::ServiceClass* service_class = nullptr;
   if (rule.class_index >= 0) {
-    cls = &services.classes[static_cast<std::size_t>(rule.class_index)];
+    service_class = &services.classes[static_cast<std::size_t>(rule.class_index)];
   } else {
-    const std::string stated = field(names.class_name);
+    const std::string value = header(names.class_name);
     for (const config::ServiceClass& c : services.classes) {
-      if (c.settings.name == stated) cls = &c;
+      if (c.settings.name == value) service_class = &c;
     }
-    if (cls == nullptr) return fault(http::status::bad_request, names.class_name + " names no class");
+    if (service_class == nullptr)
+      return reject(http::status::bad_request, names.class_name + " names no class");
   }
   const std::string method(ToStringView(head.method_string()));
-  if (!cls->methods.empty() &&
-      std::find(cls->methods.begin(), cls->methods.end(), method) == cls->methods.end()) {
-    return fault(http::status::method_not_allowed, "class " + cls->settings.name + " takes another method",
-                 JoinWithCommas(cls->methods));
+  if (!service_class->methods.empty() &&
+      std::find(service_class->methods.begin(), service_class->methods.end(), method) ==
+          service_class->methods.end()) {
+    return reject(http::status::method_not_allowed,
+                  "class " + service_class->settings.name + " takes another method",
+                  JoinWithCommas(service_class->methods));
   }
-  const auto& effects = pool.settings.classes;
-  const auto own = std::find_if(effects.begin(), effects.end(),
-                                [&](const ClassSettings& c) { return c.name == cls->settings.name; });
-  if (own->effect == Effect::kKeyed && head["Idempotency-Key"].empty()) {
-    return fault(http::status::bad_request, "Idempotency-Key is missing");
+  const auto& pool_classes = pool.settings.classes;
+  const auto class_settings =
+      std::find_if(pool_classes.begin(), pool_classes.end(),
+                   [&](const ClassSettings& c) { return c.name == service_class->settings.name; });
+  if (class_settings->effect == Effect::kKeyed && head["Idempotency-Key"].empty()) {
+    return reject(http::status::bad_request, "Idempotency-Key is missing");
   }
-  request.class_name = cls->settings.name;
-  request.tenant = field(names.tenant);
-  request.key = field(names.key);
-  request.is_retry = field(names.retry) == "1";
-  request.client_timeout = cls->settings.deadline;
-  if (const std::string stated = field(names.deadline); !stated.empty()) {
-    const auto deadline = ParseDeadlineHeader(stated);
-    if (!deadline) return fault(http::status::bad_request, names.deadline + " is malformed");
+  request.class_name = service_class->settings.name;
+  request.tenant = header(names.tenant);
+  request.key = header(names.key);
+  request.is_retry = header(names.retry) == "1";
+  request.client_timeout = service_class->settings.deadline;
+  if (const std::string value = header(names.deadline); !value.empty()) {
+    const auto deadline = ParseDeadlineHeader(value);
+    if (!deadline) return reject(http::status::bad_request, names.deadline + " is malformed");
     request.client_timeout = std::min(request.client_timeout, *deadline);
   }
-  request.id = field(names.id);
+  request.id = header(names.id);
   if (request.id.size() > kMaxRequestIdLength)
-    return fault(http::status::bad_request, names.id + " is too long");
+    return reject(http::status::bad_request, names.id + " is too long");
   if (request.id.empty()) {
     char id[40];
     std::snprintf(id, sizeof id, "%016llx-%llx", static_cast<unsigned long long>(seed_),
@@ -440,9 +446,9 @@
 std::optional<LocalReply> ServiceGateway::ApplyLimits(const std::shared_ptr<PoolEntry>& entry,
                                                       ClientRequest& request) {
   const auto refuse = [](http::status status, std::string text, Millis retry_after, std::string cause) {
-    LocalReply f{status, std::move(text), retry_after, {}, std::move(cause)};
-    f.keep_connection = true;
-    return f;
+    LocalReply reply{status, std::move(text), retry_after, {}, std::move(cause)};
+    reply.keep_connection = true;
+    return reply;
   };
   if (!client_connections_.TryAcquire(entry->client_connections)) {
     return refuse(http::status::service_unavailable, "pool " + entry->id + " has no places left",
--- a/src/gateway/stop_sequence.cpp
+++ b/src/gateway/stop_sequence.cpp
@@ -16,13 +16,13 @@
 }  // namespace
 
 StopTimes StopTimes::ForSettings(const Settings& settings) {
-  Millis longest = 0;
-  for (const ClassSettings& c : settings.classes) longest = std::max(longest, c.deadline);
-  longest = std::min(longest, kMaxCountedDeadlineMs);
+  Millis longest_deadline = 0;
+  for (const ClassSettings& c : settings.classes) longest_deadline = std::max(longest_deadline, c.deadline);
+  longest_deadline = std::min(longest_deadline, kMaxCountedDeadlineMs);
   StopTimes times;
   const Millis drain_to_fail = times.fail_pending - times.drain;
-  times.fail_pending = longest + kFailPendingAfterDeadlineMs;
-  times.drain = times.fail_pending - drain_to_fail * longest / kMaxCountedDeadlineMs;
+  times.fail_pending = longest_deadline + kFailPendingAfterDeadlineMs;
+  times.drain = times.fail_pending - drain_to_fail * longest_deadline / kMaxCountedDeadlineMs;
   times.stop_listening = std::min(times.stop_listening, times.drain);
   return times;
 }
--- a/src/limits/read_throttle.hpp
+++ b/src/limits/read_throttle.hpp
@@ -16,18 +16,19 @@
  public:
   // `reads_per_s`: delayed reads a second over all connections of a pool. `max_delay`: longest delay of one
   // read.
-  ReadThrottle(double reads_per_s, Millis max_delay) : interval_(1000 / reads_per_s), max_delay_(max_delay) {}
+  ReadThrottle(double reads_per_s, Millis max_delay)
+      : read_interval_(1000 / reads_per_s), max_delay_(max_delay) {}
 
   // Returns the delay before the next read of a connection refused at `now`. Bursts of up to kBurst are not
   // delayed.
   Millis NextDelay(Millis now) {
     constexpr double kBurst = 20;
-    next_read_at_ = std::max(next_read_at_, now - kBurst * interval_) + interval_;
+    next_read_at_ = std::max(next_read_at_, now - kBurst * read_interval_) + read_interval_;
     return std::clamp(next_read_at_ - now, 0.0, max_delay_);
   }
 
  private:
-  const Millis interval_, max_delay_;
+  const Millis read_interval_, max_delay_;
   Millis next_read_at_ = -1e15;
 };
 
