--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t kReservedDescriptors = 24;
 // Of the usable descriptors. Below a half: each attempt in flight also has a client connection.
 constexpr double kHostDescriptorFraction = 0.45;
-// Of the configured descriptors: past it idle client connections are closed. Clients hold at most a third of
-// them.
+// Of the configured descriptors: above it idle client connections are closed. Below the third of them that
+// clients may hold at most.
 constexpr double kClientSoftLimitFraction = 0.3;
 // Of the memory. Each body is held twice while it is forwarded.
 constexpr double kBodyMemoryFraction = 0.15;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -32,6 +32,7 @@
   void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::ForSettings(settings_)); }
 
  private:
+  // Passes a failed watch on to the pool, and retries it unless the module requests its watches itself.
   void OnMembershipUpdateFailed();
 
   const Settings settings_;
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -63,10 +63,11 @@
             std::make_shared<limits::ReadThrottle>(pool_config.refusal_reads_per_s, kMaxReadDelayMs)) {}
 
   const std::string id;
-  const std::string definition;
-  NodeRegistry::PoolId registry_id = 0;
+  const std::string definition;          // see config::Pool::definition
+  NodeRegistry::PoolId registry_id = 0;  // in the gateway's NodeRegistry
   limits::RequestLimiter limiter;
   const std::shared_ptr<limits::ReadThrottle> read_throttle;
+  // Ids in the gateway's shared budgets of the same names.
   limits::SharedBudget::ParticipantId descriptors = 0, client_connections = 0, body_memory = 0;
   std::shared_ptr<Pool> pool;
   std::unique_ptr<HostSource> source;
@@ -90,7 +91,7 @@
   ServiceGateway& gateway;
   const std::weak_ptr<int> alive;
   const std::shared_ptr<PoolEntry> entry;
-  std::uint64_t body_bytes = 0;
+  std::uint64_t body_bytes = 0;  // reserved for the request body
 };
 
 ServiceGateway::ServiceGateway(asio::io_context& io, Services services, std::uint64_t seed)
--- a/src/limits/request_limiter.cpp
+++ b/src/limits/request_limiter.cpp
@@ -5,7 +5,7 @@
 namespace opalswitch::limits {
 namespace {
 
-// Short: a slot becomes free as soon as any of the active requests ends.
+// Short but not zero: a slot becomes free when any of the many active requests ends.
 constexpr Millis kActiveLimitRetryAfterMs = 250;
 
 }  // namespace
--- a/src/limits/shared_budget.hpp
+++ b/src/limits/shared_budget.hpp
@@ -25,7 +25,9 @@
   ParticipantId AddParticipant(Amount guaranteed, Amount max = kUnlimited);
   // Ends the participant's guarantee. What it still uses counts until it is released.
   void RemoveParticipant(ParticipantId id);
+  // Changes the guarantee and the maximum. What is in use stays, even above the new maximum.
   void SetLimits(ParticipantId id, Amount guaranteed, Amount max = kUnlimited);
+  // Changes the total. What is in use stays, even above the new total.
   void Resize(Amount total) { total_ = total; }
 
   // Acquires `amount` or nothing; returns false if not all of it is available.
