--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The gateway over loopback sockets. Each test says what it guards against.
+// End-to-end tests of the platform gateway over loopback sockets.
 #include "gateway/gateway.hpp"
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
 namespace opalswitch::testing {
 namespace {
 
-// One gateway, its discovery and some hosts.
+// A gateway with a scripted discovery service and scripted hosts.
 struct World {
-  // Starts the gateway, which knows hosts h0, h1 ... from its configuration.
+  // Starts the gateway with hosts h0, h1, ... in its configuration.
   explicit World(std::size_t hosts_wanted = 1, nlohmann::json settings = TestSettings(),
                  std::size_t sockets = 300) {
     std::vector<nlohmann::json> members;
@@ -49,7 +49,7 @@
   template <typename Done>
   ::testing::AssertionResult Until(Done done) {
     if (RunUntil(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "did not come about";
+    return ::testing::AssertionFailure() << "condition not met within 30 s";
   }
 
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(io, gateway->address()); }
@@ -67,8 +67,8 @@
   return server;
 }
 
-// Guards the way through: everything that hosts and clients rely on arrives unchanged.
-TEST(Gateway, PassesARequestOnAndItsAnswerBack) {
+// Guards against changes to the headers, body or target that hosts and clients rely on.
+TEST(Gateway, ForwardsRequestAndResponse) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
@@ -83,15 +83,15 @@
   ASSERT_FALSE(left.empty());
   EXPECT_EQ(left.back(), 'm');
   EXPECT_GT(std::stoi(left), 0);
-  EXPECT_LT(std::stoi(left), 5000);  // what is left, not what there was
+  EXPECT_LT(std::stoi(left), 5000);  // the remaining time, not the original one
   world.host().requests[0].Answer(200, "answer to r1");
   EXPECT_EQ(client->Await().result(), http::status::ok);
   EXPECT_EQ(client->Await().body(), "answer to r1");
   EXPECT_TRUE(client->Await().keep_alive());
 }
 
-// Guards the 64 KiB that the protocol allows, to the byte.
-TEST(Gateway, TakesABodyOfTheFullSize) {
+// Guards against an off-by-one in the body limit of 64 KiB.
+TEST(Gateway, AcceptsBodiesOfMaximumSize) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
@@ -106,7 +106,7 @@
   unsigned status;
 };
 
-// Each is answered by the gateway itself, with its status, and reaches no host.
+// Expects each input to be answered by the gateway with its status, without reaching a host.
 void ExpectAnsweredHere(World& world, const std::vector<BadInput>& inputs) {
   for (const BadInput& input : inputs) {
     SCOPED_TRACE(input.what);
@@ -117,9 +117,9 @@
   EXPECT_TRUE(world.host().requests.empty());
 }
 
-// Guards against input that is no proper request: it must be told so by a 4xx that does not invite a retry,
-// reach no host, and leave the gateway serving.
-TEST(Gateway, AnswersBadInputItself) {
+// Guards against malformed requests: they must get a 4xx that does not invite a retry, reach no host, and
+// leave the gateway serving.
+TEST(Gateway, AnswersMalformedRequestsLocally) {
   const std::string head = "GET /api HTTP/1.1\r\nHost: b\r\n";
   const std::string good = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
   const std::vector<BadInput> inputs = {
@@ -134,10 +134,10 @@
       {"no class", head + "Req-Id: a\r\nReq-Deadline: 900m\r\n\r\n", 400},
       {"no deadline", head + "Req-Id: a\r\nReq-Kind: view\r\n\r\n", 400},
       {"deadline without a unit", ApiCall("a", "view", "900"), 400},
-      {"deadline in words", ApiCall("a", "view", "soonm"), 400},
+      {"deadline that is text", ApiCall("a", "view", "soonm"), 400},
       {"negative deadline", ApiCall("a", "view", "-5m"), 400},
       {"deadline that is no number", ApiCall("a", "view", "nanm"), 400},
-      {"endless deadline", ApiCall("a", "view", "infm"), 400},
+      {"infinite deadline", ApiCall("a", "view", "infm"), 400},
       {"wrong path", "GET /apix HTTP/1.1\r\nHost: b\r\n" + good + "\r\n", 404},
       {"safe class by POST", "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 0\r\n" + good + "\r\n", 405},
       {"other method", "DELETE /api HTTP/1.1\r\nHost: b\r\n" + good + "\r\n", 405},
@@ -153,8 +153,8 @@
   EXPECT_EQ(client->Await().result(), http::status::ok);
 }
 
-// Guards against two requests of one id: their answers could not be told apart.
-TEST(Gateway, TurnsAwayAnIdThatIsInUse) {
+// Guards against two concurrent requests with the same id: their outcomes could not be told apart.
+TEST(Gateway, RejectsARequestIdInUseWithConflict) {
   World world;
   const auto first = world.Connect(), second = world.Connect();
   first->Send(ApiCall("r1"));
@@ -165,17 +165,17 @@
   EXPECT_EQ(first->Await().result(), http::status::ok);
 }
 
-// Guards against a request that the module gives up on being held back, or told without a time to come back.
-TEST(Gateway, RefusesWithRetryAfter) {
+// Guards against a refusal that is delayed or lacks Retry-After.
+TEST(Gateway, RefusalCarriesRetryAfter) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "0m"));  // no time to try
+  client->Send(ApiCall("r1", "pay", "0m"));  // no time for an attempt
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
   EXPECT_TRUE(world.host().requests.empty());
 }
 
-// How a host may treat a request, and what a gateway may make of it.
+// A host's reaction to a request, and whether the request may have run.
 struct Treatment {
   std::string what;
   std::function<void(const Peer::Taken&)> treat;
@@ -186,69 +186,69 @@
   static const std::vector<Treatment> all = {
       {"reset", [](const auto& r) { r.on->Reset(); }, true},
       {"closed", [](const auto& r) { r.on->Close(); }, true},
-      {"half an answer",
+      {"truncated response",
        [](const auto& r) {
          r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
          asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
        },
        true},
-      {"a body without an end",
+      {"a body delimited by close",
        [](const auto& r) {
          r.on->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
          asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
        },
        true},
-      {"two lengths",
+      {"two Content-Length headers",
        [](const auto& r) {
          r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
        },
        true},
-      {"a length and a coding",
+      {"Content-Length and Transfer-Encoding",
        [](const auto& r) {
          r.on->Raw(
              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: "
              "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
-      {"another coding",
+      {"an unsupported transfer coding",
        [](const auto& r) {
          r.on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
       {"a negative length",
        [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); }, true},
-      {"3 GB to come",  // told by the head: no byte of it is waited for
+      {"a Content-Length of 3 GB",  // rejected by its Content-Length, without waiting for the body
        [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"); }, true},
-      {"a head without an end",
+      {"an oversized header",
        [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); }, true},
-      {"interim answers without an end",
+      {"too many interim responses",
        [](const auto& r) {
          std::string text;
          for (int i = 0; i < 50; ++i) text += "HTTP/1.1 102 Processing\r\n\r\n";
          r.on->Raw(text);
        },
        true},
-      {"half a header",
+      {"truncated header",
        [](const auto& r) {
          r.on->Raw("HTTP/1.1 200 OK\r\nContent-");
          asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
        },
        true},
       {"no HTTP", [](const auto& r) { r.on->Raw("220 mail ready\r\n\r\n"); }, true},
-      {"too large", [](const auto& r) { r.Answer(200, std::string(64 * 1024 + 1, 'x')); }, true},
+      {"body over the limit", [](const auto& r) { r.Answer(200, std::string(64 * 1024 + 1, 'x')); }, true},
       {"error", [](const auto& r) { r.Answer(500, "oops"); }, true},
-      {"503 without a word", [](const auto& r) { r.Answer(503, ""); }, true},
-      {"declined otherwise", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "0"); }, true},
-      {"declined by an error", [](const auto& r) { r.Answer(500, "", "Srv-Declined", "1"); }, true},
-      {"declined", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "1"); }, false},
-      {"declined as over", [](const auto& r) { r.Answer(504, "", "Srv-Declined", "1"); }, false},
+      {"503 without Srv-Declined", [](const auto& r) { r.Answer(503, ""); }, true},
+      {"503 with Srv-Declined: 0", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "0"); }, true},
+      {"500 with Srv-Declined", [](const auto& r) { r.Answer(500, "", "Srv-Declined", "1"); }, true},
+      {"503 with Srv-Declined", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "1"); }, false},
+      {"504 with Srv-Declined", [](const auto& r) { r.Answer(504, "", "Srv-Declined", "1"); }, false},
   };
   return all;
 }
 
-// Guards rule 2: an unsafe request goes out again only if it never ran, and any doubt is told as a failure,
-// never as a refusal. One host treats it so, another would serve it.
-TEST(Gateway, SendsUnsafeAgainOnlyIfItNeverRan) {
+// Guards against running an unsafe request twice: it may be retried only if it never ran. In doubt the client
+// gets a failure, never a refusal. The first attempt is treated as given; a second one would be served.
+TEST(Gateway, RetriesUnsafeRequestsOnlyIfTheyNeverRan) {
   for (const Treatment& treatment : Treatments()) {
     SCOPED_TRACE(treatment.what);
     World world(2);
@@ -267,8 +267,8 @@
   }
 }
 
-// Guards the other side of it: what is safe to repeat is not failed for one host's sake.
-TEST(Gateway, SendsSafeAgain) {
+// Guards against failing a safe request because of one host.
+TEST(Gateway, RetriesSafeRequestsAfterAnyFailure) {
   for (const Treatment& treatment : Treatments()) {
     SCOPED_TRACE(treatment.what);
     World world(2);
@@ -285,46 +285,48 @@
   }
 }
 
-// What the gateway says while requests follow each other over four hosts, each of which does `amiss` with
-// every fourth that it gets. All must be sent.
-std::string WordsWhileEveryFourth(const std::function<void(const Peer::Taken&)>& amiss) {
+// Returns the gateway's log while requests run one after the other on four hosts, each of which handles every
+// fourth request with `fail`. Expects all requests to be sent.
+std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::Taken&)>& fail) {
   ::testing::internal::CaptureStderr();
   {
     World world(4);
     std::array<int, 4> taken{};
     for (std::size_t i = 0; i < taken.size(); ++i) {
       world.host(i).serve = [&, i](const Peer::Taken& request) {
-        ++taken[i] % 4 == 0 ? amiss(request) : request.Answer(200, "");
+        ++taken[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
     const auto client = world.Connect();
     for (std::size_t i = 1; i <= 160; ++i) {
       client->Send(ApiCall("r" + std::to_string(i), "pay"));
-      EXPECT_NE(client->Await(i).result_int(), 503u);  // sent, whatever came of it
+      EXPECT_NE(client->Await(i).result_int(), 503u);  // sent to a host, whatever the outcome
     }
   }
   return ::testing::internal::GetCapturedStderr();
 }
 
-// Guards against leaving hosts out for resets that all of them see alike: soon there is nowhere to send.
-TEST(Gateway, KeepsHostsInThatResetNoMoreThanTheOthers) {
-  const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.on->Reset(); });
-  EXPECT_EQ(words.find("not ready"), std::string::npos) << words;
+// Guards against ejecting hosts for resets that all of them show equally: soon no host would be left.
+TEST(Gateway, DoesNotEjectHostsThatAllResetEquallyOften) {
+  const auto log = LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.on->Reset(); });
+  EXPECT_EQ(log.find("not ready"), std::string::npos) << log;
 }
 
-// Guards against a rate cut for failures that no crowding can have caused: one request at a time is out.
-TEST(Gateway, DoesNotCutTheRateWhileItsHostsStandIdle) {
-  const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.Answer(500, ""); });
-  EXPECT_EQ(words.find("rate cut"), std::string::npos) << words;
+// Guards against a rate decrease for failures that load can't have caused: only one request at a time is in
+// flight.
+TEST(Gateway, DoesNotCutTheRateForErrorsOfIdleHosts) {
+  const auto log =
+      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.Answer(500, ""); });
+  EXPECT_EQ(log.find("rate cut"), std::string::npos) << log;
 }
 
-// Guards against a host that turns requests away drawing ever more of them, as it looks idle: it rests for as
-// long as an answer takes.
-TEST(Gateway, RestsAHostThatTurnsAway) {
+// Guards against a host that declines requests attracting more of them because it looks idle: it gets none
+// for as long as a response takes.
+TEST(Gateway, PausesAHostThatDeclinesARequest) {
   auto settings = TestSettings();
   settings.erase("report");
   World world(2, settings);
-  constexpr auto kService = std::chrono::seconds(1);  // far longer than the rest of this test
+  constexpr auto kService = std::chrono::seconds(1);  // much longer than the rest of the test
   asio::steady_timer served(world.io, kService);
   const auto one = world.Connect(), two = world.Connect();
   one->Send(ApiCall("r1"));
@@ -339,22 +341,22 @@
   one->Await();
   two->Await();
 
-  int turned_away = 0;
+  int declined = 0;
   world.host(0).serve = [&](const Peer::Taken& request) {
-    ++turned_away;
+    ++declined;
     request.Answer(503, "", "Srv-Declined", "1");
   };
   std::vector<std::unique_ptr<Client>> clients;
-  for (std::size_t i = 0; i < 5; ++i) {  // the other host holds them all, and looks the worse for each
+  for (std::size_t i = 0; i < 5; ++i) {  // the other host gets them all and looks more loaded with each
     clients.push_back(world.Connect());
     clients.back()->Send(ApiCall("s" + std::to_string(i)));
     ASSERT_TRUE(world.Until([&] { return world.host(1).requests.size() == i + 2; }));
   }
-  EXPECT_EQ(turned_away, 1);
+  EXPECT_EQ(declined, 1);
 }
 
-// Guards against answers that are lost on the way passing for a slow host: its limit must not shrink by them.
-TEST(Gateway, SendsAsMuchToAHostThoughAnswersAreLost) {
+// Guards against taking lost responses for a slow host: they must not lower its concurrency limit.
+TEST(Gateway, KeepsTheConcurrencyLimitWhenResponsesAreLost) {
   auto settings = TestSettings();
   settings.erase("report");
   World world(1, settings);
@@ -377,17 +379,17 @@
     others.back()->Send(ApiCall("lost" + std::to_string(i), "pay", "900m"));
   }
   while (!std::all_of(others.begin(), others.end(), [](const auto& o) { return o->answers().size() == 1; })) {
-    ask();  // others are answered meanwhile
+    ask();  // the others' deadlines pass meanwhile
   }
-  for (int i = 0; i < 10; ++i) ask();  // the limit follows the latency with each answer
+  for (int i = 0; i < 10; ++i) ask();  // the limit adapts to the latency with each response
   host.serve = nullptr;
   const std::size_t before = host.requests.size();
   for (int i = 0; i < 5; ++i) others[i]->Send(ApiCall("held" + std::to_string(i)));
   EXPECT_TRUE(RunUntil(world.io, [&] { return host.requests.size() == before + 5; }));
 }
 
-// Guards against a refused dial being taken for a request that may have run: the client may try again.
-TEST(Gateway, TellsARefusedDialAsNeverRun) {
+// Guards against taking a refused connection for a request that may have run: the client may retry.
+TEST(Gateway, RefusedConnectIsARefusalNotAFailure) {
   World world;
   world.host().StopListening();
   const auto client = world.Connect();
@@ -396,9 +398,9 @@
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
 }
 
-// Guards a stalled host's request: it ends in time, its connection is closed so that the late answer can't
-// reach anyone, and the client gets one answer.
-TEST(Gateway, GivesUpOnAHostThatStalls) {
+// Guards against a stalled host: the request must fail in time, with exactly one response, and the connection
+// must be closed so that a late response can't reach another client.
+TEST(Gateway, TimesOutAStalledHost) {
   World world;
   const auto client = world.Connect();
   const auto begun = std::chrono::steady_clock::now();
@@ -408,14 +410,14 @@
   EXPECT_GE(std::chrono::steady_clock::now() - begun, std::chrono::milliseconds(300));
   ASSERT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
   world.host().requests[0].Answer(200, "late");
-  client->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");  // the next answer on the connection is this one's
+  client->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");  // must get the next response on the connection
   EXPECT_EQ(client->Await(2).body(), "");
   EXPECT_EQ(client->answers().size(), 2u);
 }
 
-// Guards against dials that cost hosts work: one connection serves requests that follow each other, and of
-// several the one used last is taken.
-TEST(Gateway, ReusesTheMostRecentConnection) {
+// Guards against needless connects, which cost hosts work: sequential requests share a connection, and of
+// several idle ones the most recently used is taken.
+TEST(Gateway, ReusesTheMostRecentlyUsedConnection) {
   World world;
   Peer& host = world.host();
   const auto one = world.Connect(), two = world.Connect();
@@ -434,9 +436,9 @@
   EXPECT_EQ(host.requests[2].on, host.requests[1].on);
 }
 
-// Guards against a write into a connection that the host has closed while it stood idle: an unsafe request
-// would be lost to a reset that need not be.
-TEST(Gateway, NoticesAConnectionClosedWhileIdle) {
+// Guards against writing to a connection that the host closed while it was idle: the reset would fail an
+// unsafe request.
+TEST(Gateway, DetectsConnectionsClosedWhileIdle) {
   World world;
   Peer& host = world.host();
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -449,8 +451,8 @@
   EXPECT_EQ(host.connections.size(), 6u);
 }
 
-// Guards against an answer that no request asked for being given to the next request.
-TEST(Gateway, DropsAConnectionThatSpeaksUnasked) {
+// Guards against giving an unsolicited response to the next request.
+TEST(Gateway, DropsConnectionsWithUnsolicitedResponses) {
   World world;
   Peer& host = world.host();
   const auto client = world.Connect();
@@ -466,8 +468,8 @@
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// Guards against an interim answer being taken for the final one.
-TEST(Gateway, ReadsOnBehindInterimAnswers) {
+// Guards against taking an interim (1xx) response for the final one.
+TEST(Gateway, SkipsInterimResponses) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay"));
@@ -479,8 +481,8 @@
   EXPECT_EQ(client->Await().body(), "final");
 }
 
-// Guards the next request against noise that came right behind an answer, or a moment after it.
-TEST(Gateway, NeverReusesAConnectionWithMoreThanAnAnswer) {
+// Guards the next request on a connection against bytes that follow a response, immediately or later.
+TEST(Gateway, DoesNotReuseConnectionsWithBytesAfterTheResponse) {
   for (const bool at_once : {true, false}) {
     SCOPED_TRACE(at_once);
     World world;
@@ -489,11 +491,11 @@
     client->Send(ApiCall("r1"));
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
-                      noise = "HTTP/1.1 200 OK\r\nConte";
-    host.requests[0].on->Raw(at_once ? answer + noise : answer);
+                      extra_bytes = "HTTP/1.1 200 OK\r\nConte";
+    host.requests[0].on->Raw(at_once ? answer + extra_bytes : answer);
     EXPECT_EQ(client->Await().body(), "one");
     if (!at_once) {
-      host.requests[0].on->Raw(noise);
+      host.requests[0].on->Raw(extra_bytes);
       EXPECT_TRUE(world.Until([&] { return host.connections[0]->ended; }));
     }
     client->Send(ApiCall("r2"));
@@ -504,9 +506,9 @@
   }
 }
 
-// Guards rule 2 against a message with two ends: what one reader takes for its body another takes for a
-// request.
-TEST(Gateway, RefusesWhatCouldHideAnotherRequest) {
+// Guards against request smuggling: with an ambiguous length, one reader's body is another reader's request,
+// which could run an unsafe request twice.
+TEST(Gateway, RejectsRequestsThatCouldHideAnotherRequest) {
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n";
   const std::string hidden = ApiCall("hidden", "pay");
@@ -535,25 +537,24 @@
     EXPECT_EQ(client->answers().size(), 1u);
   }
   EXPECT_TRUE(world.host().requests.empty());
-  const auto usual = world.Connect();  // a plain coding is fine
+  const auto usual = world.Connect();  // a plain chunked coding is accepted
   usual->Send(head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(world.host().requests[0].http.body(), "body");
 }
 
-// Guards hosts of the platform, which get paths unchanged, against paths that a host could take for others,
-// and all of HTTP's messages against a second meaning; each of these was passed on, or refused, wrongly
-// before.
-TEST(Gateway, PassesOnNoMessageWithTwoMeanings) {
+// Guards the platform's hosts, which get paths unchanged, against paths and messages that they could
+// interpret differently than the gateway. Each case was once forwarded or rejected wrongly.
+TEST(Gateway, RejectsAmbiguousRequests) {
   const std::string fields = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n\r\n";
   const std::vector<BadInput> inputs = {
       {"dot segments", "GET /api/../api HTTP/1.1\r\nHost: b\r\n" + fields, 400},
-      {"coded letters", "GET /%61pi HTTP/1.1\r\nHost: b\r\n" + fields, 400},
+      {"percent-encoded letters", "GET /%61pi HTTP/1.1\r\nHost: b\r\n" + fields, 400},
       {"double slashes", "GET /api//x HTTP/1.1\r\nHost: b\r\n" + fields, 400},
-      {"broken codes", "GET /api/%zz HTTP/1.1\r\nHost: b\r\n" + fields, 400},
+      {"invalid percent-encoding", "GET /api/%zz HTTP/1.1\r\nHost: b\r\n" + fields, 400},
       {"no Host", "GET /api HTTP/1.1\r\n" + fields, 400},
-      {"a coding in HTTP/1.0", "GET /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n" + fields + "0\r\n\r\n",
-       400},
+      {"a transfer coding in HTTP/1.0",
+       "GET /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n" + fields + "0\r\n\r\n", 400},
   };
   World world;
   ExpectAnsweredHere(world, inputs);
@@ -564,15 +565,15 @@
   EXPECT_EQ(world.host().requests[0].http["Host"], "b");
 }
 
-// For a front end alone: every request is as good as another, and there is no pool to take it.
+// Admission handler for tests of the HTTP server alone, without a pool: rejects nothing.
 std::optional<gateway::LocalReply> AdmitAll(const HttpRequest&, const routing::Target&,
                                             const gateway::RequestOrigin&, gateway::ClientRequest&) {
   return std::nullopt;
 }
 
-// Guards the places of usual clients: those that say nothing, or half a request, are told off or closed in
-// time.
-TEST(HttpServer, EndsSilentAndHalfRequests) {
+// Guards against connections held by clients that send nothing or only part of a request: they must be closed
+// in time, the latter with a 408.
+TEST(HttpServer, ClosesSilentConnectionsAndTimesOutPartialRequests) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
   limits.first_request = limits.whole_request = 1;
@@ -588,8 +589,8 @@
   EXPECT_TRUE(half.AwaitEnd());
 }
 
-// Guards clients between requests against a crowd that connects and says nothing: the crowd makes room.
-TEST(HttpServer, EvictsTheSilentBeforeUsualClients) {
+// Guards clients between requests against many clients that connect and send nothing: those are closed first.
+TEST(HttpServer, EvictsSilentConnectionsBeforeIdleKeepAliveOnes) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
   limits.sessions = 4;
@@ -600,22 +601,23 @@
   Client usual(io, at);
   usual.Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(usual.Await().result(), http::status::ok);
-  std::vector<std::unique_ptr<Client>> crowd;
+  std::vector<std::unique_ptr<Client>> silent_clients;
   for (int i = 0; i < 20; ++i) {
-    crowd.push_back(std::make_unique<Client>(io, at));
-    if (i % 2 == 0) crowd.back()->Send("GET /api HTT");
+    silent_clients.push_back(std::make_unique<Client>(io, at));
+    if (i % 2 == 0) silent_clients.back()->Send("GET /api HTT");
   }
   EXPECT_TRUE(RunUntil(io, [&] {
-    return std::count_if(crowd.begin(), crowd.end(), [](const auto& c) { return c->ended(); }) >= 17;
+    return std::count_if(silent_clients.begin(), silent_clients.end(),
+                         [](const auto& c) { return c->ended(); }) >= 17;
   }));
   EXPECT_FALSE(usual.ended());
   usual.Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(usual.Await(2).result(), http::status::ok);
 }
 
-// Guards a client whose request is still on its way against being closed for the next one that connects: it
-// would connect again, and so would all. The kept connection of one that asked before goes first.
-TEST(HttpServer, GivesANewClientAMomentForItsRequest) {
+// Guards a new client whose request is still in transit against being closed for the next new client: it
+// would reconnect, and so would all. The idle keep-alive connection must be closed instead.
+TEST(HttpServer, EvictsAnIdleConnectionBeforeANewOne) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
   limits.sessions = 3;
@@ -633,16 +635,16 @@
   }
 }
 
-// Guards a move of discovery: the old call and its answer count for nothing, the whole list is asked for
-// anew, and a second word of the same address changes nothing.
-TEST(Gateway, FollowsDiscoveryToANewAddress) {
+// Guards a change of the discovery address: the pending call to the old address is dropped, the complete list
+// is requested from the new one, and a reload with the same address has no effect.
+TEST(Gateway, WatchesDiscoveryAtItsNewAddressAfterAReload) {
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   Peer moved(world.io), host(world.io);
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "new"); };
   gateway::Config config;
   config.discovery = moved.address();
-  // On its way when the address changes: it names a host that must not be believed in.
+  // In transit when the address changes; its host must not be used.
   world.discovery.requests[0].Answer(200, List(99, true, {Member("h9", world.host().address())}).dump());
   world.gateway->Reload(config);
   world.gateway->Reload(config);
@@ -659,23 +661,24 @@
   EXPECT_EQ(world.discovery.requests.size(), 1u);
 }
 
-// Guards against work for a client that has left: the attempt is given up by closing its connection.
-TEST(Gateway, CancelsForAClientThatLeft) {
+// Guards against work for a client that disconnected: the attempt is cancelled by closing its connection.
+TEST(Gateway, CancelsTheAttemptWhenTheClientDisconnects) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   client->Leave();
   EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
-  const auto other = world.Connect();  // the id is free again, and the gateway serves
+  const auto other = world.Connect();  // the id can be used again
   other->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
   world.host().requests[1].Answer(200, "");
   EXPECT_EQ(other->Await().result(), http::status::ok);
 }
 
-// Guards against answers out of order, and against a request lost that came before the last was answered.
-TEST(Gateway, AnswersRequestsThatCameTogetherInOrder) {
+// Guards against responses out of order and against losing a request that arrives before the previous
+// response.
+TEST(Gateway, AnswersPipelinedRequestsInOrder) {
   World world;
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, std::string(taken.http["Req-Id"])); };
   const auto client = world.Connect();
@@ -685,8 +688,9 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client->answers()[i].body(), "r" + std::to_string(i + 1));
 }
 
-// Guards rule 3: news that a host drains takes effect on the next send, and idle connections to it go.
-TEST(Gateway, SendsNothingToAHostThatDrains) {
+// Guards against sending to a draining host: the update takes effect with the next attempt, and idle
+// connections to the host are closed.
+TEST(Gateway, SendsNothingToADrainingHost) {
   World world(2);
   for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
@@ -708,9 +712,9 @@
   EXPECT_EQ(world.host(0).requests.size(), before);
 }
 
-// Guards the gap between a dial and its write: a host that began to drain meanwhile gets no byte. The dial
-// hangs because the listener's queue is full, and comes up when there is room.
-TEST(HostPool, WritesNothingToAHostThatDrainedDuringTheDial) {
+// Guards the time between connect and write: a host that starts draining in it must get no byte. The connect
+// hangs because the listener's queue is full, and completes when there is room.
+TEST(HostPool, WritesNothingToAHostThatDrainsDuringTheConnect) {
   asio::io_context io;
   tcp::acceptor listener(io, tcp::v4());
   listener.bind(Loopback());
@@ -718,7 +722,7 @@
   listener.non_blocking(true);
   const auto at = listener.local_endpoint();
   tcp::socket fill(io);
-  fill.connect(at);  // takes the one place in the queue
+  fill.connect(at);  // takes the only place in the queue
   gateway::HostPool pool(io, {20000, 60000, 10});
   gateway::HostList list;
   list.hosts.push_back({MakeHost("h0"), at});
@@ -743,8 +747,9 @@
   }
 }
 
-// Guards the limit on connections: beyond it an attempt is told as never sent, and one that idles makes room.
-TEST(HostPool, KeepsToItsLimit) {
+// Guards the connection limit: beyond it an attempt ends as not sent, unless an idle connection can be
+// closed.
+TEST(HostPool, EnforcesItsConnectionLimit) {
   asio::io_context io;
   Peer one(io), two(io);
   gateway::HostPool pool(io, {5000, 60000, 2});
@@ -772,9 +777,9 @@
   EXPECT_EQ(pool.connections(), 1u);
 }
 
-// Guards the watch: it starts from the known list, goes on from each answer, and a call that fails in any way
-// is made again from the last good revision.
-TEST(Gateway, KeepsWatchingThroughFailures) {
+// Guards the discovery watch: it starts from the configured list and continues from each response; after any
+// failed call it resumes from the last good revision.
+TEST(Gateway, ResumesTheWatchAfterFailures) {
   World world;
   Peer& discovery = world.discovery;
   const auto asked = [&](std::size_t n) {
@@ -799,8 +804,8 @@
   EXPECT_NE(asked(7).find("after=44&"), std::string::npos);
 }
 
-// Guards a flood of clients: those between requests make room, and a new one is served.
-TEST(Gateway, ServesThroughAFloodOfConnections) {
+// Guards against a flood of connections: idle ones must be closed so that a new client is served.
+TEST(Gateway, EvictsIdleConnectionsUnderAFloodOfNewOnes) {
   World world(1, TestSettings(), 200);  // 90 of them for clients
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
@@ -819,8 +824,8 @@
   EXPECT_LE(closed, 62u);
 }
 
-// Guards the clients that wait for a place while all are taken by requests under way: places come free.
-TEST(Gateway, MakesRoomWhenAllPlacesAreBusy) {
+// Guards clients that wait in the listen queue while all connections have requests in progress.
+TEST(Gateway, AcceptsWaitingClientsAsBusyConnectionsEnd) {
   World world(1, TestSettings(), 10);  // 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
@@ -830,10 +835,10 @@
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// Guards against clients that ask once and keep their connection for good shutting others out: past three
-// tenths of the descriptors those that have idled longest are closed. In a stop, kept ones are all that
-// clients have.
-TEST(Gateway, ClosesTheLongestIdleWhereClientsHoldTooMany) {
+// Guards against clients that send one request and keep their connections, shutting others out: above three
+// tenths of the descriptors the longest idle ones are closed. Not during a stop, when clients can't open new
+// ones.
+TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheSoftLimit) {
   World world(1, TestSettings(), 100);
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
@@ -856,9 +861,9 @@
   EXPECT_EQ(open(), 31);
 }
 
-// Guards a planned restart: not ready any more but still accepting, all that was taken is answered,
-// keep-alives end with Connection: close, idle ones are closed, and then it is done.
-TEST(Gateway, AnswersAllBeforeItStops) {
+// Guards a planned restart: /up reports not ready, but connections are still accepted; all accepted requests
+// are answered, with Connection: close; idle connections are closed; then the stop is done.
+TEST(Gateway, GracefulStopAnswersAllAcceptedRequests) {
   World world;
   const auto idle = world.Connect(), busy = world.Connect();
   idle->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -887,8 +892,9 @@
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
-// Guards clients that have nowhere else to go yet: until the drain begins their connections serve as ever.
-TEST(Gateway, ServesKeptConnectionsUntilItDrains) {
+// Guards clients that can't reach another gateway yet: until the drain begins their connections are served as
+// usual.
+TEST(Gateway, ServesKeepAliveConnectionsUntilTheDrainBegins) {
   World world;
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
@@ -899,12 +905,13 @@
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
   }
   EXPECT_TRUE(client->answers()[0].keep_alive());
-  EXPECT_TRUE(client->AwaitEnd());  // the drain closes it between requests
+  EXPECT_TRUE(client->AwaitEnd());  // the drain closes idle connections
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
-// Guards a stop with a host that never answers: what is left is failed before the process would be killed.
-TEST(Gateway, FailsWhatIsLeftWhenTheStopRunsOut) {
+// Guards a stop with a host that never answers: pending requests must be failed before the platform kills the
+// process.
+TEST(Gateway, FailsPendingRequestsAtTheEndOfTheStop) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "20000m"));
@@ -915,8 +922,8 @@
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
-// Guards the module against guesses of the work that are none: they are left out, and the request is taken.
-TEST(PlatformCall, ReadsTheGuessOfTheWorkAsMicroseconds) {
+// Guards against invalid values of Req-Cost: they must be ignored, and the request accepted.
+TEST(PlatformRequest, ParsesReqCostInMicroseconds) {
   const std::vector<std::pair<std::string, Millis>> cases = {
       {"12500", 12.5}, {"1500.5", 1.5005}, {"", 0},       {"0", 0},
       {"-5", 0},       {"12ms", 0},        {"nan", 0},    {"inf", 0},
@@ -939,9 +946,9 @@
   EXPECT_DOUBLE_EQ(taken("nonsense"), 0);
 }
 
-// Guards a site whose deadlines are short: the platform ends a gateway by force 700 ms after the longest of
-// them (3 s at the most), so a stop that takes its time as if they were long loses what it still holds.
-TEST(StopTimes, EndBeforeTheGatewayIsKilledWhateverTheDeadlines) {
+// Guards stops with short deadlines: the platform kills a gateway 700 ms after the longest deadline (at most
+// 3 s), so a stop that takes as long as with 3 s would lose its pending requests.
+TEST(StopTimes, EndBeforeThePlatformKillsTheGatewayForAnyDeadline) {
   const auto stop_times = [](std::initializer_list<Millis> deadlines) {
     Settings settings;
     for (const Millis deadline : deadlines) settings.classes.emplace_back().deadline = deadline;
@@ -954,7 +961,7 @@
     EXPECT_LE(times.stop_listening, times.drain) << longest;
     EXPECT_LE(times.drain, times.fail_pending) << longest;
     EXPECT_LE(times.fail_pending, killed - 400) << longest;
-    if (longest >= 400) {  // connections go on coming for up to 400
+    if (longest >= 400) {  // new connections keep arriving for up to 400 ms
       EXPECT_GE(times.stop_listening, 450) << longest;
     }
   }
@@ -962,8 +969,9 @@
   EXPECT_EQ(stop_times({6000.0}).answer, gateway::StopTimes().fail_pending);
 }
 
-// The same over sockets: a kept connection is closed, and the end comes, by the time that the settings leave.
-TEST(Gateway, StopsSoonerWhereDeadlinesAreShort) {
+// The same over sockets: a keep-alive connection is closed, and the stop ends, in the time that the settings
+// allow.
+TEST(Gateway, StopsSoonerWithShortDeadlines) {
   nlohmann::json settings = TestSettings();
   for (auto& c : settings["categories"]) c["sloMs"] = c["deadlineMs"] = 400.0;
   World world(1, settings);
@@ -976,7 +984,8 @@
   EXPECT_TRUE(kept->AwaitEnd());
   kept->Leave();
   EXPECT_TRUE(world.Until([&] { return done; }));
-  EXPECT_LT(gateway::Now() - begun, gateway::StopTimes().drain);  // where long deadlines would have closed it
+  EXPECT_LT(gateway::Now() - begun,
+            gateway::StopTimes().drain);  // when a stop with long deadlines would have begun to drain
 }
 
 }  // namespace
