--- a/tests/losses_test.cpp
+++ b/tests/losses_test.cpp
@@ -1,4 +1,4 @@
-// The lines from which a day's losses are added up: what ended is told once, and nothing that didn't.
+// Tests of the loss recorder's log lines: each ended request must be logged exactly once.
 #include "ledger/losses.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,8 @@
 
 using ledger::RequestOutcome;
 
-TEST(LossRecorder, TellsEachEndOnceByClassAndCause) {
+// Guards against outcomes that are missing from the lines or logged twice.
+TEST(LossRecorder, LogsEachOutcomeOnceByClassAndCause) {
   ledger::LossRecorder losses({MakeClass("view", Effect::kSafe, 5), MakeClass("pay", Effect::kUnsafe, 8)});
   EXPECT_TRUE(losses.TakeLogLines(1000).empty()) << "nothing has ended";
   losses.RecordRequest("view", RequestOutcome::kInTime, "", 10);
@@ -20,16 +21,17 @@
   losses.RecordRequest("view", RequestOutcome::kGone, "", 700);
   losses.RecordWastedAttempt("view", Result::kReset, 30);
   losses.RecordRequest("pay", RequestOutcome::kFailed, CauseName(Cause::kMayHaveRun), 5);
-  EXPECT_TRUE(losses.TakeLogLines(1900).empty()) << "a line a second at the most";
+  EXPECT_TRUE(losses.TakeLogLines(1900).empty()) << "at most one line a second";
   EXPECT_EQ(losses.TakeLogLines(2000),
             (std::vector<std::string>{
                 "losses class=view at=2.0 worth=5 ended=5 in_time=1 late=1 refused.rate=2 "
                 "wasted.reset=1 gone=1 waited_ms=60 wasted_ms=30",
                 "losses class=pay at=2.0 worth=8 ended=1 in_time=0 failed.ran=1 waited_ms=5"}));
-  EXPECT_TRUE(losses.TakeLogLines(3000).empty()) << "told twice";
+  EXPECT_TRUE(losses.TakeLogLines(3000).empty()) << "logged twice";
 }
 
-TEST(LossRecorder, SaysNothingOfASecondWithoutLosses) {
+// Guards against log lines without losses, and against requests served meanwhile missing from the next line.
+TEST(LossRecorder, LogsNothingWhileNothingIsLost) {
   ledger::LossRecorder losses({MakeClass("view")});
   losses.RecordRequest("view", RequestOutcome::kInTime, "", 10);
   EXPECT_TRUE(losses.TakeLogLines(1000).empty());
@@ -37,18 +39,19 @@
   const auto lines = losses.TakeLogLines(2000);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0], "losses class=view at=2.0 worth=1 ended=2 in_time=1 gone=1")
-      << "what was served is not left out";
+      << "requests served before are included";
 }
 
-// Guards against names that clients choose: they would grow the accounts without end.
-TEST(LossRecorder, KeepsNoAccountOfAClassThatIsNone) {
+// Guards against class names chosen by clients: counting them would use unbounded memory.
+TEST(LossRecorder, IgnoresUnknownClasses) {
   ledger::LossRecorder losses({MakeClass("view")});
   losses.RecordRequest("nonsense", RequestOutcome::kRefused, "class", 0);
   losses.RecordWastedAttempt("nonsense", Result::kReset, 0);
   EXPECT_TRUE(losses.TakeLogLines(1000).empty());
 }
 
-TEST(LossRecorder, HasAWordForEveryCause) {
+// Guards against a cause without a name.
+TEST(LossRecorder, EveryCauseHasAName) {
   for (int cause = 0; cause <= static_cast<int>(Cause::kRetryBudgetExhausted); ++cause) {
     EXPECT_STRNE(CauseName(static_cast<Cause>(cause)), "unknown") << cause;
   }
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -1,4 +1,5 @@
-// Several services behind one gateway, over loopback sockets. Each test says what must not happen.
+// End-to-end tests of the service gateway over loopback sockets: routing, isolation of pools, drains and
+// reloads.
 #include "gateway/service_gateway.hpp"
 
 #include <gtest/gtest.h>
@@ -41,7 +42,7 @@
   return text;
 }
 
-// GET is a view and everything else a change, under "/<pool>".
+// Routes "/<pool>": GET and HEAD with class "view", other methods with class "change".
 std::string RoutesText(const std::string& id) {
   const std::string both = "prefix = \"/" + id + "\"\npool = \"" + id + "\"\n";
   return "[[route]]\nid = \"" + id + "-view\"\nmethods = [\"GET\", \"HEAD\"]\nclass = \"view\"\n" + both +
@@ -62,6 +63,7 @@
          "\r\n" + more + "\r\n" + body;
 }
 
+// A gateway with scripted hosts on one event loop.
 struct World {
   Peer& Host(Broken how = Broken::kNot, const std::string& name = "") {
     hosts.push_back(std::make_unique<Peer>(io));
@@ -74,15 +76,16 @@
   template <typename Done>
   ::testing::AssertionResult Until(Done done) {
     if (RunUntil(io, done)) return ::testing::AssertionSuccess();
-    return ::testing::AssertionFailure() << "did not come about";
+    return ::testing::AssertionFailure() << "condition not met within 30 s";
   }
 
   asio::io_context io;
   std::vector<std::unique_ptr<Peer>> hosts;
-  std::vector<tcp::endpoint> addresses;  // of the hosts, also of those that stopped listening
+  std::vector<tcp::endpoint> addresses;  // of all hosts, including those that have stopped listening
   std::optional<gateway::ServiceGateway> gateway;
 };
 
+// Guards against requests sent to another pool than their route's, and against changed targets or headers.
 TEST(Services, RoutesEachRequestToItsPool) {
   World world;
   const auto a = world.Host(Broken::kNot, "from a").address(),
@@ -107,8 +110,8 @@
   EXPECT_FALSE(client->ended());
 }
 
-// Guards what clients of a plain pool rely on: a host's own answers below 500, and its errors, come through.
-TEST(Services, PassesHostsOwnAnswersOn) {
+// Guards what clients of a plain pool rely on: host responses below 500, and host errors, are forwarded.
+TEST(Services, ForwardsHostResponsesInAPlainPool) {
   World world;
   Peer& host = world.Host();
   host.serve = [](const Peer::Taken& taken) {
@@ -130,9 +133,9 @@
     EXPECT_EQ(answer.body(), "body");
     EXPECT_EQ(answer["X-Own"], "1");
   }
-  client->Send(Post("/a/500", "x"));  // an error that may have run: not again, and not a refusal
+  client->Send(Post("/a/500", "x"));  // may have run: no retry, and not a refusal
   EXPECT_EQ(client->Await(++n).result_int(), 500u);
-  client->Send(Post("/a/503", "x"));  // "try again" is more than anybody knows
+  client->Send(Post("/a/503", "x"));  // 503 would invite a retry, but the request may have run
   EXPECT_EQ(client->Await(++n).result_int(), 502u);
   client->Send(Get("/a/204"));
   EXPECT_EQ(client->Await(++n).result_int(), 204u);
@@ -142,6 +145,7 @@
   EXPECT_EQ(world.hosts[0]->requests.size(), 10u);
 }
 
+// Guards against a body after a response to HEAD (RFC 9110 9.3.2).
 TEST(Services, AnswersHeadWithoutABody) {
   World world;
   Peer& host = world.Host();
@@ -161,47 +165,48 @@
   EXPECT_TRUE(text.ends_with("\r\n\r\n")) << text;
 }
 
-// ---- One meaning for each request ------------------------------------------------------------------
+// ---- Ambiguous requests ----------------------------------------------------------------------------
 
+// A raw request with the expected status and, if it is forwarded, the target and Host that the host gets.
 struct Raw {
   std::string what, text;
   unsigned status;
-  std::string path = {}, host = {};  // as the host gets them, where it does
+  std::string path = {}, host = {};
 };
 
-// Guards hosts against requests that they would read in another way than this gateway (RFC 9112, RFC 3986).
-TEST(Services, HaveOneMeaningForEachRequest) {
+// Guards hosts against requests that they would interpret differently than the gateway (RFC 9112, RFC 3986).
+TEST(Services, NormalizeOrRejectAmbiguousRequests) {
   const std::string end = "\r\n\r\n", h = " HTTP/1.1\r\nHost: h";
   const std::vector<Raw> cases = {
       {"dot segments", "GET /x/../a/./y" + h + end, 200, "/a/y", "h"},
-      {"coded dot segments", "GET /x/%2e%2E/a" + h + end, 200, "/a", "h"},
+      {"percent-encoded dot segments", "GET /x/%2e%2E/a" + h + end, 200, "/a", "h"},
       {"double slashes", "GET //a//y" + h + end, 200, "/a/y", "h"},
-      {"coded plain letters", "GET /%61/%7ey" + h + end, 200, "/a/~y", "h"},
-      {"a coded slash that changes nothing", "GET /a/x%2fy" + h + end, 200, "/a/x%2Fy", "h"},
-      {"a coded slash that changes the route", "GET /b%2f..%2fa" + h + end, 400},
-      {"coded dots behind a coded slash", "GET /a/..%2fb" + h + end, 400},
+      {"percent-encoded unreserved characters", "GET /%61/%7ey" + h + end, 200, "/a/~y", "h"},
+      {"an encoded slash that does not change the route", "GET /a/x%2fy" + h + end, 200, "/a/x%2Fy", "h"},
+      {"an encoded slash that changes the route", "GET /b%2f..%2fa" + h + end, 400},
+      {"dots before an encoded slash", "GET /a/..%2fb" + h + end, 400},
       {"parameters that hide dots", "GET /a/..;x/b" + h + end, 400},
-      {"coded backslashes", "GET /a/..%5cb" + h + end, 400},
-      {"broken codes", "GET /a/%zz" + h + end, 400},
-      {"half a code", "GET /a/%4" + h + end, 400},
-      {"a coded zero", "GET /a%00" + h + end, 400},
+      {"encoded backslashes", "GET /a/..%5cb" + h + end, 400},
+      {"invalid percent-encoding", "GET /a/%zz" + h + end, 400},
+      {"truncated percent-encoding", "GET /a/%4" + h + end, 400},
+      {"an encoded NUL", "GET /a%00" + h + end, 400},
       {"overlong UTF-8", "GET /a/%c0%af" + h + end, 400},
       {"a fragment", "GET /a#x" + h + end, 400},
       {"a backslash", "GET /a\\b" + h + end, 400},
-      {"broken codes in the query", "GET /a?%g" + h + end, 400},
+      {"invalid percent-encoding in the query", "GET /a?%g" + h + end, 400},
       {"absolute form", "GET http://Ex.Org:81/a?q HTTP/1.1\r\nHost: ex.org:81" + end, 200, "/a?q",
        "ex.org:81"},
       {"absolute form with another Host", "GET http://ex.org/a HTTP/1.1\r\nHost: other" + end, 200, "/a",
        "ex.org"},
-      {"absolute form with a user", "GET http://u@ex.org/a" + h + end, 400},
+      {"absolute form with userinfo", "GET http://u@ex.org/a" + h + end, 400},
       {"another scheme", "GET ftp://ex.org/a" + h + end, 400},
       {"no slash", "GET a" + h + end, 400},
-      {"a star", "GET *" + h + end, 400},
+      {"asterisk form", "GET *" + h + end, 400},
       {"no Host", "GET /a HTTP/1.1" + end, 400},
       {"two Hosts", "GET /a" + h + "\r\nHost: h" + end, 400},
-      {"Host with a user", "GET /a HTTP/1.1\r\nHost: u@h" + end, 400},
+      {"Host with userinfo", "GET /a HTTP/1.1\r\nHost: u@h" + end, 400},
       {"Host with a path", "GET /a HTTP/1.1\r\nHost: h/x" + end, 400},
-      {"Host with a wild port", "GET /a HTTP/1.1\r\nHost: h:99999" + end, 400},
+      {"Host with an invalid port", "GET /a HTTP/1.1\r\nHost: h:99999" + end, 400},
       {"an empty Host", "GET /a HTTP/1.1\r\nHost:" + end, 200, "/a", ""},
       {"HTTP/1.0 without Host", "GET /a HTTP/1.0" + end, 200, "/a", ""},
       {"HTTP/1.0 with a transfer coding", "POST /a HTTP/1.0\r\nTransfer-Encoding: chunked" + end + "0" + end,
@@ -210,20 +215,20 @@
       {"HTTP/2.0", "GET /a HTTP/2.0\r\nHost: h" + end, 400},
       {"CONNECT", "CONNECT h:80" + h + end, 501},
       {"TRACE", "TRACE /a" + h + end, 501},
-      {"a blank before the colon", "GET /a" + h + "\r\nX : 1" + end, 400},
-      {"a nameless field", "GET /a" + h + "\r\n: 1" + end, 400},
-      {"a zero in a field", "GET /a" + h + "\r\nX: " + std::string("\0", 1) + end, 400},
-      {"a bare return in a field", "GET /a" + h + "\r\nX: a\rb" + end, 400},
-      {"two lengths", "POST /a" + h + "\r\nContent-Length: 0\r\nContent-Length: 0" + end, 400},
-      {"a list of lengths", "POST /a" + h + "\r\nContent-Length: 0, 0" + end, 400},
-      {"a signed length", "POST /a" + h + "\r\nContent-Length: +0" + end, 400},
-      {"length and coding",
+      {"a space before the colon", "GET /a" + h + "\r\nX : 1" + end, 400},
+      {"a field without a name", "GET /a" + h + "\r\n: 1" + end, 400},
+      {"a NUL in a field", "GET /a" + h + "\r\nX: " + std::string("\0", 1) + end, 400},
+      {"a bare CR in a field", "GET /a" + h + "\r\nX: a\rb" + end, 400},
+      {"two Content-Length headers", "POST /a" + h + "\r\nContent-Length: 0\r\nContent-Length: 0" + end, 400},
+      {"a list in Content-Length", "POST /a" + h + "\r\nContent-Length: 0, 0" + end, 400},
+      {"a signed Content-Length", "POST /a" + h + "\r\nContent-Length: +0" + end, 400},
+      {"Content-Length and Transfer-Encoding",
        "POST /a" + h + "\r\nContent-Length: 3\r\nTransfer-Encoding: chunked" + end + "0" + end, 400},
       {"a coding before chunked", "POST /a" + h + "\r\nTransfer-Encoding: gzip, chunked" + end + "0" + end,
        400},
       {"chunked twice", "POST /a" + h + "\r\nTransfer-Encoding: chunked, chunked" + end + "0" + end, 400},
-      {"a broken chunk", "POST /a" + h + "\r\nTransfer-Encoding: chunked" + end + "zz" + end, 400},
-      {"a body by chunks", "POST /a" + h + "\r\nTransfer-Encoding: Chunked" + end + "1\r\nx\r\n0" + end, 200,
+      {"a malformed chunk size", "POST /a" + h + "\r\nTransfer-Encoding: chunked" + end + "zz" + end, 400},
+      {"a chunked body", "POST /a" + h + "\r\nTransfer-Encoding: Chunked" + end + "1\r\nx\r\n0" + end, 200,
        "/a", "h"},
   };
   World world;
@@ -246,13 +251,15 @@
   EXPECT_TRUE(b.requests.empty());
 }
 
-// ---- A pool that fails -----------------------------------------------------------------------------
+// ---- Isolation of pools ----------------------------------------------------------------------------
 
+// Served share and 99th percentile (ms) of two pools.
 struct Shares {
   double one, two, one_p99, two_p99;
 };
 
-// Full load on two healthy pools, and the same on a third that is broken or, for the comparison, not there.
+// Loads two healthy pools fully, and a third one whose host fails as given; without load on the third for
+// kNot.
 Shares LoadBeside(Broken how) {
   World world;
   const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
@@ -261,7 +268,8 @@
   world.Start(std::string(kTop) + PoolText("one", {one}) + PoolText("two", {two}) +
               PoolText("three", {broken}) + RoutesText("one") + RoutesText("two") + RoutesText("three"));
   const tcp::endpoint at = world.gateway->address("in");
-  // More clients than the broken pool may hold of the places: it must not get the others' too.
+  // More clients than the broken pool's share of the client connections: it must not get the others' share
+  // too.
   std::optional<Load> third;
   if (how != Broken::kNot)
     third.emplace(world.io, at, 250, 100000, [](std::size_t) { return Get("/three"); });
@@ -276,8 +284,8 @@
 
 class BesideABrokenPool : public ::testing::TestWithParam<Broken> {};
 
-// Guards healthy pools against one that fails whole. Times are compared in bench/, where the machine is
-// quiet: here their share alone has a bound.
+// Guards healthy pools against one that fails completely. Only the served share is bounded here; latencies
+// are compared in bench/, on a quiet machine.
 TEST_P(BesideABrokenPool, HealthyPoolsKeepTheirServedShare) {
   const Shares alone = LoadBeside(Broken::kNot);
   const Shares beside = LoadBeside(GetParam());
@@ -299,8 +307,8 @@
                                            Broken::kEndless),
                          NameOf);
 
-// Guards the descriptors of one pool against another that holds all it can get.
-TEST(Services, DescriptorsThatRunOutInOnePoolAreThereForAnother) {
+// Guards the descriptors of one pool against another that takes all it can get.
+TEST(Services, APoolThatExhaustsItsDescriptorsLeavesOthersTheirs) {
   World world;
   Peer& hung = world.Host(Broken::kHangs);
   Peer& good = world.Host(Broken::kNot, "good");
@@ -322,8 +330,8 @@
   EXPECT_LE(world.gateway->pool("hung")->connections(), 5u);
 }
 
-// Guards a pool's other tenants, and the other pools, against one tenant that floods it.
-TEST(Services, AFloodOfOneTenantIntoOnePoolLeavesTheOthersServed) {
+// Guards other tenants of a pool, and other pools, against one tenant that floods the pool.
+TEST(Services, AFloodOfOneTenantLeavesOtherTenantsAndPoolsServed) {
   World world;
   const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
   world.Start(std::string(kTop) +
@@ -339,9 +347,9 @@
   EXPECT_GE(calm.ServedShare(), 0.98);
 }
 
-// Guards a pool's hosts against more requests a second than they are to get, and tells clients when to come
-// back.
-TEST(Services, APoolTakesNoMoreASecondThanItsLimit) {
+// Guards hosts against more requests a second than the pool's limit, and clients against a 429 without
+// Retry-After.
+TEST(Services, APoolEnforcesItsRequestRateLimit) {
   World world;
   Peer& host = world.Host(Broken::kNot, "a");
   world.Start(std::string(kTop) +
@@ -359,38 +367,38 @@
   EXPECT_EQ(host.requests.size(), 3u);
 }
 
-// Guards the memory of one pool against bodies that clients of another promise and never send.
-TEST(Services, BodiesPromisedToOnePoolLeaveRoomForAnothers) {
+// Guards the body memory of one pool against clients of another that announce bodies and never send them.
+TEST(Services, UnsentBodiesOfOnePoolLeaveMemoryForOthers) {
   World world;
   Peer& a = world.Host(Broken::kNot, "a");
   Peer& b = world.Host(Broken::kNot, "b");
   world.Start(std::string(kTop) +
               PoolText("a", {a.address()}, "limits = { body_memory = { most = \"128KiB\" } }\n") +
               PoolText("b", {b.address()}) + RoutesText("a") + RoutesText("b"));
-  std::vector<std::unique_ptr<Client>> promising;
+  std::vector<std::unique_ptr<Client>> stalled_uploads;
   for (int i = 0; i < 3; ++i) {
-    promising.push_back(world.Connect());
-    promising.back()->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\nx");
+    stalled_uploads.push_back(world.Connect());
+    stalled_uploads.back()->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\nx");
   }
   EXPECT_TRUE(world.Until([&] {
-    return std::count_if(promising.begin(), promising.end(),
+    return std::count_if(stalled_uploads.begin(), stalled_uploads.end(),
                          [](const auto& c) { return !c->answers().empty(); }) == 1;
   }));
   const auto usual = world.Connect();
   usual->Send(Post("/b", std::string(65536, 'x')));
   EXPECT_EQ(usual->Await().result_int(), 200u);
-  promising[0]->Leave();  // gives its part back
+  stalled_uploads[0]->Leave();  // releases its reserved memory
   const auto next = world.Connect();
-  ASSERT_TRUE(world.Until([&] { return promising.size() == 3 && world.gateway->connections() <= 4; }));
+  ASSERT_TRUE(world.Until([&] { return stalled_uploads.size() == 3 && world.gateway->connections() <= 4; }));
   next->Send(Post("/a", std::string(65536, 'x')));
   EXPECT_EQ(next->Await().result_int(), 200u);
 }
 
 // ---- Drains ----------------------------------------------------------------------------------------
 
-// Guards a node that drains: both pools that list it stop at the first word of it, though the other pool's
-// list is seconds behind and still says that it is up.
-TEST(Services, OneDrainReachesTheNodeInBothPools) {
+// Guards a draining node listed by two pools: both must stop using it at the first report, although the other
+// pool's list is seconds behind and still says that it is up.
+TEST(Services, ADrainReportedByOnePoolAppliesToTheNodeInBothPools) {
   World world;
   Peer& shared = world.Host(Broken::kNot, "shared");
   Peer& only_b = world.Host(Broken::kNot, "b");
@@ -406,7 +414,7 @@
   world.Start(std::string(kTop) + "[[pool]]\nid = \"a\"\nmembership = { source = \"file\", file = \"" + path +
               "\" }\n" + "[[pool]]\nid = \"b\"\nmembership = { source = \"discovery\", address = \"" +
               ToText(discovery.address()) + "\" }\n" + RoutesText("a") + RoutesText("b"));
-  // The second pool's list: both up, and for as long as the test lasts nothing newer.
+  // The second pool's list says that both hosts are up, and does not change during the test.
   discovery.serve = [&, revision = 0](const Peer::Taken& taken) mutable {
     if (revision++ > 0) return;
     taken.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
@@ -422,12 +430,12 @@
   ASSERT_TRUE(world.Until([&] { return from('a') > 20 && from('b') > 20; }));
   write("draining");
   ASSERT_TRUE(world.Until([&] { return !world.gateway->nodes().drains().empty(); }));
-  const Millis told = world.gateway->nodes().drains().at("n").since;
-  EXPECT_LE(told, gateway::Now());
+  const Millis drained_at = world.gateway->nodes().drains().at("n").since;
+  EXPECT_LE(drained_at, gateway::Now());
   EXPECT_EQ(world.gateway->nodes().PoolsOf("n").size(), 2u);
-  // What was written to it before is on its way still; when that has come nothing more may. Both pools go on
-  // serving.
-  ASSERT_TRUE(world.Until([&] { return gateway::Now() > told + 500; }));
+  // Requests sent before the drain may still be in transit; after they have arrived no more may come. Both
+  // pools continue to serve.
+  ASSERT_TRUE(world.Until([&] { return gateway::Now() > drained_at + 500; }));
   const std::size_t after = shared.requests.size(), served = to_a.served() + to_b.served();
   ASSERT_TRUE(world.Until([&] { return to_a.served() + to_b.served() > served + 500; }));
   EXPECT_EQ(shared.requests.size(), after);
@@ -437,12 +445,13 @@
 
 // ---- Reloads ---------------------------------------------------------------------------------------
 
-// Guards requests under way against reloads: every 50 ms another file, each second one broken, under load.
-TEST(Services, ReloadsEvery50MsUnderLoadLoseNothing) {
+// Guards requests in progress against reloads: under load, a new file every 50 ms, every second one invalid.
+TEST(Services, ReloadsEvery50MsUnderLoadLoseNoRequest) {
   World world;
   const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
   const auto text = [&](int round) {
-    // Pool "one" changes with each good file, pool "two" never does, "extra" and its listener come and go.
+    // Pool "one" changes with each valid file, pool "two" never; "extra" and its listener are added and
+    // removed.
     std::string file = std::string(kTop) +
                        PoolText("one", {one}, "attempts = " + std::to_string(1 + round % 4) + "\n") +
                        PoolText("two", {two});
@@ -482,14 +491,13 @@
   EXPECT_GT(to_one.served(), 100u);
   EXPECT_EQ(to_one.served(), to_one.Total());
   EXPECT_EQ(to_two.served(), to_two.Total());
-  EXPECT_EQ(world.gateway->pool("two"), kept);  // nothing learned is lost
+  EXPECT_EQ(world.gateway->pool("two"), kept);  // the unchanged pool keeps its state
   EXPECT_NE(world.gateway->pool("one"), changed);
   EXPECT_TRUE(world.Until([&] { return world.gateway->draining_pools() <= 1; }));
 }
 
-// Guards requests that must not run twice, in a pool that a new file takes away: each runs once and is
-// answered once.
-TEST(Services, APoolThatIsRemovedEndsItsUnsafeRequestsExactlyOnce) {
+// Guards unsafe requests in a pool that a reload removes: each must run once and be answered once.
+TEST(Services, ARemovedPoolEndsItsUnsafeRequestsExactlyOnce) {
   World world;
   Peer& old = world.Host(Broken::kHangs);
   Peer& rest = world.Host(Broken::kNot, "rest");
@@ -506,7 +514,7 @@
   const auto late = world.Connect();
   late->Send(Post("/old", "late"));
   EXPECT_EQ(late->Await().result_int(), 404u);
-  old.requests[0].on->Reset();        // may have run: a failure, and nothing again
+  old.requests[0].on->Reset();        // may have run: a failure, without a retry
   old.requests[1].Answer(500, "no");  // the same
   for (std::size_t i = 2; i < 6; ++i) old.requests[i].Answer(200, "done");
   std::map<unsigned, int> statuses;
@@ -520,7 +528,8 @@
   EXPECT_EQ(next->Await().body(), "rest");
 }
 
-// Guards a running gateway against a file that can't be had whole: nothing of it counts.
+// Guards a running gateway against a partially applied file: if one listener can't be opened, nothing may
+// change.
 TEST(Services, AReloadThatCanNotListenChangesNothing) {
   World world;
   const auto one = world.Host(Broken::kNot, "one").address();
