--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -119,9 +119,9 @@
 
 // Has the peer answer with its name, after `time`.
 void Serve(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
-  if (time.count() == 0) return Behave(peer, Broken::kNot, name);
-  peer.serve = [&peer, time, name](const Peer::Taken& taken) {
-    const auto timer = std::make_shared<asio::steady_timer>(taken.on->socket.get_executor(), time);
+  if (time.count() == 0) return ScriptHost(peer, HostFailure::kNone, name);
+  peer.serve = [&peer, time, name](const Peer::ReceivedRequest& taken) {
+    const auto timer = std::make_shared<asio::steady_timer>(taken.connection->socket.get_executor(), time);
     timer->async_wait([timer, taken, name](error_code) { taken.Answer(200, name); });
   };
 }
@@ -174,11 +174,11 @@
   Figures alone, beside;
 };
 
-Pair Play(Broken how, std::chrono::milliseconds time) {
+Pair Play(HostFailure how, std::chrono::milliseconds time) {
   const Child hosts([time](const auto& tell) {
     asio::io_context io(1);
     Peer one(io), two(io);
-    one.keep = two.keep = false;
+    one.keeps_requests = two.keeps_requests = false;
     Serve(one, time, "one");
     Serve(two, time, "two");
     tell({one.address().port(), two.address().port()});
@@ -188,9 +188,9 @@
   const Child broken([how](const auto& tell) {
     asio::io_context io(1);
     Peer three(io);
-    three.keep = false;
+    three.keeps_requests = false;
     const unsigned short port = three.address().port();
-    Behave(three, how, "three");
+    ScriptHost(three, how, "three");
     tell({port});
     const auto work = asio::make_work_guard(io);  // also where it refuses connections
     io.run();
@@ -247,10 +247,10 @@
 int main(int argc, char** argv) {
   using namespace opalswitch::testing;
   const int rounds = argc > 1 ? std::atoi(argv[1]) : 5;
-  const std::pair<Broken, const char*> kinds[] = {{Broken::kHangs, "hangs"},
-                                                  {Broken::kRefuses, "refuses"},
-                                                  {Broken::kErrors, "500"},
-                                                  {Broken::kEndless, "3GB"}};
+  const std::pair<HostFailure, const char*> kinds[] = {{HostFailure::kHang, "hangs"},
+                                                       {HostFailure::kRefuseConnections, "refuses"},
+                                                       {HostFailure::kRespond500, "500"},
+                                                       {HostFailure::kEndlessResponse, "3GB"}};
   std::printf(
       "two pools at %.0f requests a second each for %d s, beside a pool with %zu clients that ask without "
       "pause;\n"
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -70,8 +70,8 @@
 TEST(Command, RunsReloadsAndStopsAServicesFile) {
   asio::io_context io;
   Peer one(io), two(io);
-  Behave(one, Broken::kNot, "one");
-  Behave(two, Broken::kNot, "two");
+  ScriptHost(one, HostFailure::kNone, "one");
+  ScriptHost(two, HostFailure::kNone, "two");
   tcp::endpoint listen;
   {
     tcp::acceptor probe(io, Loopback());
@@ -114,8 +114,8 @@
 TEST(Command, FollowsItsFileWhereTheFileSaysSo) {
   asio::io_context io;
   Peer one(io), two(io);
-  Behave(one, Broken::kNot, "one");
-  Behave(two, Broken::kNot, "two");
+  ScriptHost(one, HostFailure::kNone, "one");
+  ScriptHost(two, HostFailure::kNone, "two");
   const auto text = [&](const Peer& host) {
     return "[process]\nwatch = true\n[[listener]]\nid = \"in\"\naddress = \"127.0.0.1:0\"\n[[class]]\nid = "
            "\"view\"\n"
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -205,16 +205,16 @@
     return times;
   }
   // The n-th call, from 0; a broken connection can be told only by the call that follows.
-  Peer::Taken& Asked(std::size_t n) {
+  Peer::ReceivedRequest& Asked(std::size_t n) {
     EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() > n; })) << "call " << n;
     return peer.requests.at(n);
   }
   // One bad answer to the first call: nothing of it is believed, the next call goes on from the last good
   // list, a drain told there is kept, and the operators read two lines.
-  void Survives(const std::function<void(Peer::Taken&)>& bad, const std::string& words,
+  void Survives(const std::function<void(Peer::ReceivedRequest&)>& bad, const std::string& words,
                 bool again_at_once = true) {
     bad(Asked(0));
-    Peer::Taken& next = Asked(1);
+    Peer::ReceivedRequest& next = Asked(1);
     EXPECT_EQ(std::string(next.http.target()).find("/discovery/hosts?after=41&wait_ms="), 0u);
     EXPECT_TRUE(told.empty());
     next.Answer(200, kDraining);
@@ -245,23 +245,24 @@
 
 TEST(Discovery, SurvivesA503) {
   Watched watched(Patient());
-  watched.Survives([](Peer::Taken& call) { call.Answer(503, ""); }, "refuses (503)", false);
+  watched.Survives([](Peer::ReceivedRequest& call) { call.Answer(503, ""); }, "refuses (503)", false);
 }
 
 // A discovery that goes down ends all watches together: who may call again, and when, the policy says.
 TEST(Discovery, SurvivesAWatchThatEndsWithoutAByte) {
   Watched watched(Patient());
-  watched.Survives([&](Peer::Taken& call) { asio::post(watched.io, [on = call.on] { on->Close(); }); },
-                   "ends the watch", false);
+  watched.Survives(
+      [&](Peer::ReceivedRequest& call) { asio::post(watched.io, [on = call.connection] { on->Close(); }); },
+      "ends the watch", false);
 }
 
 // The connection ends after this much of an answer.
 void SurvivesABreakAfter(const std::string& text) {
   Watched watched(Patient());
   watched.Survives(
-      [&](Peer::Taken& call) {
-        call.on->Raw(text);
-        asio::post(watched.io, [on = call.on] { on->Close(); });
+      [&](Peer::ReceivedRequest& call) {
+        call.connection->Raw(text);
+        asio::post(watched.io, [on = call.connection] { on->Close(); });
       },
       "breaks its answer off");
 }
@@ -277,22 +278,23 @@
   times.rest = 1000;
   Watched watched(times);
   watched.Survives(
-      [](Peer::Taken& call) {
-        call.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
+      [](Peer::ReceivedRequest& call) {
+        call.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
       },
       "breaks its answer off");
 }
 
 TEST(Discovery, SurvivesJsonThatCantBeRead) {
   Watched watched(Patient());
-  watched.Survives([](Peer::Taken& call) { call.Answer(200, "{\"revision\":42,"); }, "can't be read");
+  watched.Survives([](Peer::ReceivedRequest& call) { call.Answer(200, "{\"revision\":42,"); },
+                   "can't be read");
 }
 
 // All of the list is refused: half a list would leave out hosts, or keep some that drain.
 TEST(Discovery, SurvivesAnEntryWithAWrongType) {
   Watched watched(Patient());
   watched.Survives(
-      [](Peer::Taken& call) {
+      [](Peer::ReceivedRequest& call) {
         call.Answer(200, R"({"revision":42,"complete":true,"members":[)"
                          R"({"id":"h0","host_port":"127.0.0.1:1","phase":"up"},)"
                          R"({"id":"h1","host_port":"127.0.0.1:2","phase":"up","size":"large"}]})");
@@ -302,7 +304,7 @@
 
 TEST(Discovery, SurvivesNoAnswerAtAll) {
   Watched watched;
-  watched.Survives([](Peer::Taken&) {}, "doesn't answer in time");
+  watched.Survives([](Peer::ReceivedRequest&) {}, "doesn't answer in time");
 }
 
 TEST(Discovery, SurvivesASmallerRevision) {
@@ -320,10 +322,10 @@
 TEST(Discovery, SurvivesADiscoveryThatIsAwayForLong) {
   Watched watched(Patient());
   watched.Asked(0);
-  watched.peer.Vanish();
+  watched.peer.GoOffline();
   ASSERT_TRUE(RunUntil(watched.io, [&] { return watched.failed >= 20; }));
   EXPECT_EQ(watched.lines.size(), 1u);
-  watched.peer.ComeBack();
+  watched.peer.GoOnline();
   watched.Asked(1).Answer(200, kDraining);
   ASSERT_TRUE(RunUntil(watched.io, [&] { return !watched.told.empty(); }));
   EXPECT_EQ(watched.lines.size(), 2u);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -71,7 +71,7 @@
 TEST(Gateway, ForwardsRequestAndResponse) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
+  client->Send(ApiRequest("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   const HttpRequest& got = world.host().requests[0].http;
   EXPECT_EQ(got.method(), http::verb::post);
@@ -94,7 +94,7 @@
 TEST(Gateway, AcceptsBodiesOfMaximumSize) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
+  client->Send(ApiRequest("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(world.host().requests[0].http.body().size(), 64u * 1024);
   world.host().requests[0].Answer(200, std::string(64 * 1024, 'y'));
@@ -126,28 +126,28 @@
       {"no HTTP", "BOGUS\r\n\r\n", 400},
       {"binary", std::string("\x16\x03\x01\x02\0\x01\r\n\r\n", 10), 400},
       {"bad length", "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: x\r\n\r\n", 400},
-      {"large body", ApiCall("a", "pay", "900m", std::string(64 * 1024 + 1, 'x')), 413},
+      {"large body", ApiRequest("a", "pay", "900m", std::string(64 * 1024 + 1, 'x')), 413},
       {"large header", head + "X: " + std::string(20000, 'x') + "\r\n\r\n", 431},
       {"no id", head + "Req-Kind: view\r\nReq-Deadline: 900m\r\n\r\n", 400},
-      {"long id", ApiCall(std::string(300, 'i')), 400},
-      {"unknown class", ApiCall("a", "steal"), 400},
+      {"long id", ApiRequest(std::string(300, 'i')), 400},
+      {"unknown class", ApiRequest("a", "steal"), 400},
       {"no class", head + "Req-Id: a\r\nReq-Deadline: 900m\r\n\r\n", 400},
       {"no deadline", head + "Req-Id: a\r\nReq-Kind: view\r\n\r\n", 400},
-      {"deadline without a unit", ApiCall("a", "view", "900"), 400},
-      {"deadline that is text", ApiCall("a", "view", "soonm"), 400},
-      {"negative deadline", ApiCall("a", "view", "-5m"), 400},
-      {"deadline that is no number", ApiCall("a", "view", "nanm"), 400},
-      {"infinite deadline", ApiCall("a", "view", "infm"), 400},
+      {"deadline without a unit", ApiRequest("a", "view", "900"), 400},
+      {"deadline that is text", ApiRequest("a", "view", "soonm"), 400},
+      {"negative deadline", ApiRequest("a", "view", "-5m"), 400},
+      {"deadline that is no number", ApiRequest("a", "view", "nanm"), 400},
+      {"infinite deadline", ApiRequest("a", "view", "infm"), 400},
       {"wrong path", "GET /apix HTTP/1.1\r\nHost: b\r\n" + good + "\r\n", 404},
       {"safe class by POST", "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: 0\r\n" + good + "\r\n", 405},
       {"other method", "DELETE /api HTTP/1.1\r\nHost: b\r\n" + good + "\r\n", 405},
       {"unsafe class by GET", head + "Req-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n", 405},
-      {"keyed class without a key", ApiCall("a", "key"), 400},
+      {"keyed class without a key", ApiRequest("a", "key"), 400},
   };
   World world;
   ExpectAnsweredHere(world, inputs);
   const auto client = world.Connect();
-  client->Send(ApiCall("fine"));
+  client->Send(ApiRequest("fine"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   world.host().requests[0].Answer(200, "");
   EXPECT_EQ(client->Await().result(), http::status::ok);
@@ -157,9 +157,9 @@
 TEST(Gateway, RejectsARequestIdInUseWithConflict) {
   World world;
   const auto first = world.Connect(), second = world.Connect();
-  first->Send(ApiCall("r1"));
+  first->Send(ApiRequest("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  second->Send(ApiCall("r1"));
+  second->Send(ApiRequest("r1"));
   EXPECT_EQ(second->Await().result(), http::status::conflict);
   world.host().requests[0].Answer(200, "");
   EXPECT_EQ(first->Await().result(), http::status::ok);
@@ -169,7 +169,7 @@
 TEST(Gateway, RefusalCarriesRetryAfter) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "0m"));  // no time for an attempt
+  client->Send(ApiRequest("r1", "pay", "0m"));  // no time for an attempt
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
   EXPECT_TRUE(world.host().requests.empty());
@@ -178,63 +178,64 @@
 // A host's reaction to a request, and whether the request may have run.
 struct Treatment {
   std::string what;
-  std::function<void(const Peer::Taken&)> treat;
+  std::function<void(const Peer::ReceivedRequest&)> treat;
   bool may_have_run;
 };
 
 const std::vector<Treatment>& Treatments() {
   static const std::vector<Treatment> all = {
-      {"reset", [](const auto& r) { r.on->Reset(); }, true},
-      {"closed", [](const auto& r) { r.on->Close(); }, true},
+      {"reset", [](const auto& r) { r.connection->Reset(); }, true},
+      {"closed", [](const auto& r) { r.connection->Close(); }, true},
       {"truncated response",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+         r.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+         asio::post(r.connection->socket.get_executor(), [on = r.connection] { on->Close(); });
        },
        true},
       {"a body delimited by close",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+         r.connection->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
+         asio::post(r.connection->socket.get_executor(), [on = r.connection] { on->Close(); });
        },
        true},
       {"two Content-Length headers",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
+         r.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
        },
        true},
       {"Content-Length and Transfer-Encoding",
        [](const auto& r) {
-         r.on->Raw(
+         r.connection->Raw(
              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: "
              "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
       {"an unsupported transfer coding",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
+         r.connection->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
       {"a negative length",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); }, true},
+       [](const auto& r) { r.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); }, true},
       {"a Content-Length of 3 GB",  // rejected by its Content-Length, without waiting for the body
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"); }, true},
+       [](const auto& r) { r.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"); },
+       true},
       {"an oversized header",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); }, true},
+       [](const auto& r) { r.connection->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); }, true},
       {"too many interim responses",
        [](const auto& r) {
          std::string text;
          for (int i = 0; i < 50; ++i) text += "HTTP/1.1 102 Processing\r\n\r\n";
-         r.on->Raw(text);
+         r.connection->Raw(text);
        },
        true},
       {"truncated header",
        [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+         r.connection->Raw("HTTP/1.1 200 OK\r\nContent-");
+         asio::post(r.connection->socket.get_executor(), [on = r.connection] { on->Close(); });
        },
        true},
-      {"no HTTP", [](const auto& r) { r.on->Raw("220 mail ready\r\n\r\n"); }, true},
+      {"no HTTP", [](const auto& r) { r.connection->Raw("220 mail ready\r\n\r\n"); }, true},
       {"body over the limit", [](const auto& r) { r.Answer(200, std::string(64 * 1024 + 1, 'x')); }, true},
       {"error", [](const auto& r) { r.Answer(500, "oops"); }, true},
       {"503 without Srv-Declined", [](const auto& r) { r.Answer(503, ""); }, true},
@@ -254,13 +255,13 @@
     World world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
         if (tries++ == 0) return treatment.treat(taken);
         taken.Answer(200, "second");
       };
     }
     const auto client = world.Connect();
-    client->Send(ApiCall("r1", "pay"));
+    client->Send(ApiRequest("r1", "pay"));
     EXPECT_EQ(client->Await().result_int(), treatment.may_have_run ? 502u : 200u);
     EXPECT_EQ(tries, treatment.may_have_run ? 1 : 2);
     EXPECT_EQ(client->answers().size(), 1u);
@@ -274,32 +275,32 @@
     World world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
         if (tries++ == 0) return treatment.treat(taken);
         taken.Answer(200, "second");
       };
     }
     const auto client = world.Connect();
-    client->Send(ApiCall("r1"));
+    client->Send(ApiRequest("r1"));
     EXPECT_EQ(client->Await().body(), "second");
   }
 }
 
 // Returns the gateway's log while requests run one after the other on four hosts, each of which handles every
 // fourth request with `fail`. Expects all requests to be sent.
-std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::Taken&)>& fail) {
+std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::ReceivedRequest&)>& fail) {
   ::testing::internal::CaptureStderr();
   {
     World world(4);
     std::array<int, 4> taken{};
     for (std::size_t i = 0; i < taken.size(); ++i) {
-      world.host(i).serve = [&, i](const Peer::Taken& request) {
+      world.host(i).serve = [&, i](const Peer::ReceivedRequest& request) {
         ++taken[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
     const auto client = world.Connect();
     for (std::size_t i = 1; i <= 160; ++i) {
-      client->Send(ApiCall("r" + std::to_string(i), "pay"));
+      client->Send(ApiRequest("r" + std::to_string(i), "pay"));
       EXPECT_NE(client->Await(i).result_int(), 503u);  // sent to a host, whatever the outcome
     }
   }
@@ -308,7 +309,8 @@
 
 // Guards against ejecting hosts for resets that all of them show equally: soon no host would be left.
 TEST(Gateway, DoesNotEjectHostsThatAllResetEquallyOften) {
-  const auto log = LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.on->Reset(); });
+  const auto log = LogWhileEveryFourthRequestFails(
+      [](const Peer::ReceivedRequest& request) { request.connection->Reset(); });
   EXPECT_EQ(log.find("not ready"), std::string::npos) << log;
 }
 
@@ -316,7 +318,7 @@
 // flight.
 TEST(Gateway, DoesNotCutTheRateForErrorsOfIdleHosts) {
   const auto log =
-      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.Answer(500, ""); });
+      LogWhileEveryFourthRequestFails([](const Peer::ReceivedRequest& request) { request.Answer(500, ""); });
   EXPECT_EQ(log.find("rate cut"), std::string::npos) << log;
 }
 
@@ -329,8 +331,8 @@
   constexpr auto kService = std::chrono::seconds(1);  // much longer than the rest of the test
   asio::steady_timer served(world.io, kService);
   const auto one = world.Connect(), two = world.Connect();
-  one->Send(ApiCall("r1"));
-  two->Send(ApiCall("r2"));
+  one->Send(ApiRequest("r1"));
+  two->Send(ApiRequest("r2"));
   ASSERT_TRUE(
       world.Until([&] { return world.host(0).requests.size() + world.host(1).requests.size() == 2; }));
   ASSERT_EQ(world.host(0).requests.size(), 1u);
@@ -342,14 +344,14 @@
   two->Await();
 
   int declined = 0;
-  world.host(0).serve = [&](const Peer::Taken& request) {
+  world.host(0).serve = [&](const Peer::ReceivedRequest& request) {
     ++declined;
     request.Answer(503, "", "Srv-Declined", "1");
   };
   std::vector<std::unique_ptr<Client>> clients;
   for (std::size_t i = 0; i < 5; ++i) {  // the other host gets them all and looks more loaded with each
     clients.push_back(world.Connect());
-    clients.back()->Send(ApiCall("s" + std::to_string(i)));
+    clients.back()->Send(ApiRequest("s" + std::to_string(i)));
     ASSERT_TRUE(world.Until([&] { return world.host(1).requests.size() == i + 2; }));
   }
   EXPECT_EQ(declined, 1);
@@ -361,7 +363,7 @@
   settings.erase("report");
   World world(1, settings);
   Peer& host = world.host();
-  host.serve = [&](const Peer::Taken& taken) {
+  host.serve = [&](const Peer::ReceivedRequest& taken) {
     if (taken.http["Req-Id"].starts_with("lost")) return;
     const auto work = std::make_shared<asio::steady_timer>(world.io, std::chrono::milliseconds(50));
     work->async_wait([work, taken](error_code) { taken.Answer(200, ""); });
@@ -369,14 +371,14 @@
   const auto client = world.Connect();
   std::size_t asked = 0;
   const auto ask = [&] {
-    client->Send(ApiCall("r" + std::to_string(++asked)));
+    client->Send(ApiRequest("r" + std::to_string(++asked)));
     EXPECT_EQ(client->Await(asked).result(), http::status::ok);
   };
   for (int i = 0; i < 10; ++i) ask();
   std::vector<std::unique_ptr<Client>> others;
   for (int i = 0; i < 6; ++i) {
     others.push_back(world.Connect());
-    others.back()->Send(ApiCall("lost" + std::to_string(i), "pay", "900m"));
+    others.back()->Send(ApiRequest("lost" + std::to_string(i), "pay", "900m"));
   }
   while (!std::all_of(others.begin(), others.end(), [](const auto& o) { return o->answers().size() == 1; })) {
     ask();  // the others' deadlines pass meanwhile
@@ -384,7 +386,7 @@
   for (int i = 0; i < 10; ++i) ask();  // the limit adapts to the latency with each response
   host.serve = nullptr;
   const std::size_t before = host.requests.size();
-  for (int i = 0; i < 5; ++i) others[i]->Send(ApiCall("held" + std::to_string(i)));
+  for (int i = 0; i < 5; ++i) others[i]->Send(ApiRequest("held" + std::to_string(i)));
   EXPECT_TRUE(RunUntil(world.io, [&] { return host.requests.size() == before + 5; }));
 }
 
@@ -393,7 +395,7 @@
   World world;
   world.host().StopListening();
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "300m"));
+  client->Send(ApiRequest("r1", "pay", "300m"));
   EXPECT_EQ(client->Await().result_int(), 503u);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
 }
@@ -404,7 +406,7 @@
   World world;
   const auto client = world.Connect();
   const auto begun = std::chrono::steady_clock::now();
-  client->Send(ApiCall("r1", "pay", "400m"));
+  client->Send(ApiRequest("r1", "pay", "400m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(client->Await().result_int(), 502u);
   EXPECT_GE(std::chrono::steady_clock::now() - begun, std::chrono::milliseconds(300));
@@ -421,19 +423,19 @@
   World world;
   Peer& host = world.host();
   const auto one = world.Connect(), two = world.Connect();
-  one->Send(ApiCall("r1"));
+  one->Send(ApiRequest("r1"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
-  two->Send(ApiCall("r2"));
+  two->Send(ApiRequest("r2"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
   EXPECT_EQ(host.connections.size(), 2u);
   host.requests[0].Answer(200, "");
   one->Await();
   host.requests[1].Answer(200, "");
   two->Await();
-  one->Send(ApiCall("r3"));
+  one->Send(ApiRequest("r3"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 3; }));
   EXPECT_EQ(host.connections.size(), 2u);
-  EXPECT_EQ(host.requests[2].on, host.requests[1].on);
+  EXPECT_EQ(host.requests[2].connection, host.requests[1].connection);
 }
 
 // Guards against writing to a connection that the host closed while it was idle: the reset would fail an
@@ -441,10 +443,10 @@
 TEST(Gateway, DetectsConnectionsClosedWhileIdle) {
   World world;
   Peer& host = world.host();
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   for (std::size_t i = 1; i <= 6; ++i) {
-    client->Send(ApiCall("r" + std::to_string(i), "pay"));
+    client->Send(ApiRequest("r" + std::to_string(i), "pay"));
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
     i % 2 == 0 ? host.connections.back()->Close() : host.connections.back()->Reset();
   }
@@ -456,12 +458,12 @@
   World world;
   Peer& host = world.host();
   const auto client = world.Connect();
-  client->Send(ApiCall("r1"));
+  client->Send(ApiRequest("r1"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
   host.requests[0].Answer(200, "one");
   EXPECT_EQ(client->Await().body(), "one");
   host.requests[0].Answer(200, "stray");
-  client->Send(ApiCall("r2"));
+  client->Send(ApiRequest("r2"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2 || client->answers().size() == 2; }));
   ASSERT_EQ(host.requests.size(), 2u);
   host.requests[1].Answer(200, "two");
@@ -472,9 +474,9 @@
 TEST(Gateway, SkipsInterimResponses) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay"));
+  client->Send(ApiRequest("r1", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].on->Raw(
+  world.host().requests[0].connection->Raw(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfinal");
   EXPECT_EQ(client->Await().result(), http::status::ok);
@@ -488,19 +490,19 @@
     World world;
     Peer& host = world.host();
     const auto client = world.Connect();
-    client->Send(ApiCall("r1"));
+    client->Send(ApiRequest("r1"));
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
                       extra_bytes = "HTTP/1.1 200 OK\r\nConte";
-    host.requests[0].on->Raw(at_once ? answer + extra_bytes : answer);
+    host.requests[0].connection->Raw(at_once ? answer + extra_bytes : answer);
     EXPECT_EQ(client->Await().body(), "one");
     if (!at_once) {
-      host.requests[0].on->Raw(extra_bytes);
+      host.requests[0].connection->Raw(extra_bytes);
       EXPECT_TRUE(world.Until([&] { return host.connections[0]->ended; }));
     }
-    client->Send(ApiCall("r2"));
+    client->Send(ApiRequest("r2"));
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
-    EXPECT_NE(host.requests[1].on, host.requests[0].on);
+    EXPECT_NE(host.requests[1].connection, host.requests[0].connection);
     host.requests[1].Answer(200, "two");
     EXPECT_EQ(client->Await(2).body(), "two");
   }
@@ -511,7 +513,7 @@
 TEST(Gateway, RejectsRequestsThatCouldHideAnotherRequest) {
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n";
-  const std::string hidden = ApiCall("hidden", "pay");
+  const std::string hidden = ApiRequest("hidden", "pay");
   const std::vector<std::string> bad = {
       head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
       head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
@@ -641,7 +643,7 @@
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   Peer moved(world.io), host(world.io);
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "new"); };
+  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, "new"); };
   gateway::Config config;
   config.discovery = moved.address();
   // In transit when the address changes; its host must not be used.
@@ -655,7 +657,7 @@
   ASSERT_TRUE(world.Until([&] { return moved.requests.size() == 2; }));
   EXPECT_EQ(std::string(moved.requests[1].http.target()).find("/discovery/hosts?after=3&"), 0u);
   const auto client = world.Connect();
-  client->Send(ApiCall("r1"));
+  client->Send(ApiRequest("r1"));
   EXPECT_EQ(client->Await().body(), "new");
   EXPECT_EQ(moved.connections.size(), 1u);
   EXPECT_EQ(world.discovery.requests.size(), 1u);
@@ -665,12 +667,12 @@
 TEST(Gateway, CancelsTheAttemptWhenTheClientDisconnects) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1"));
+  client->Send(ApiRequest("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   client->Leave();
   EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
   const auto other = world.Connect();  // the id can be used again
-  other->Send(ApiCall("r1"));
+  other->Send(ApiRequest("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
   world.host().requests[1].Answer(200, "");
   EXPECT_EQ(other->Await().result(), http::status::ok);
@@ -680,9 +682,11 @@
 // response.
 TEST(Gateway, AnswersPipelinedRequestsInOrder) {
   World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, std::string(taken.http["Req-Id"])); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) {
+    taken.Answer(200, std::string(taken.http["Req-Id"]));
+  };
   const auto client = world.Connect();
-  client->Send(ApiCall("r1") + ApiCall("r2") + ApiCall("r3"));
+  client->Send(ApiRequest("r1") + ApiRequest("r2") + ApiRequest("r3"));
   client->Await(3);
   ASSERT_EQ(client->answers().size(), 3u);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client->answers()[i].body(), "r" + std::to_string(i + 1));
@@ -692,11 +696,12 @@
 // connections to the host are closed.
 TEST(Gateway, SendsNothingToADrainingHost) {
   World world(2);
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  for (auto& host : world.hosts)
+    host->serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   std::size_t sent = 0;
   while (world.host(0).requests.empty() && sent < 1000) {
-    client->Send(ApiCall("r" + std::to_string(++sent)));
+    client->Send(ApiRequest("r" + std::to_string(++sent)));
     client->Await(sent);
   }
   ASSERT_FALSE(world.host(0).requests.empty());
@@ -706,7 +711,7 @@
   ASSERT_TRUE(world.Until([&] { return world.host(0).connections[0]->ended; }));
   const std::size_t before = world.host(0).requests.size();
   for (int i = 0; i < 20; ++i) {
-    client->Send(ApiCall("r" + std::to_string(++sent)));
+    client->Send(ApiRequest("r" + std::to_string(++sent)));
     EXPECT_EQ(client->Await(sent).result(), http::status::ok);
   }
   EXPECT_EQ(world.host(0).requests.size(), before);
@@ -798,7 +803,7 @@
   EXPECT_NE(asked(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Answer(503, "");
   EXPECT_NE(asked(5).find("after=42&"), std::string::npos);
-  discovery.requests[4].on->Reset();
+  discovery.requests[4].connection->Reset();
   EXPECT_NE(asked(6).find("after=42&"), std::string::npos);
   discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
   EXPECT_NE(asked(7).find("after=44&"), std::string::npos);
@@ -807,14 +812,14 @@
 // Guards against a flood of connections: idle ones must be closed so that a new client is served.
 TEST(Gateway, EvictsIdleConnectionsUnderAFloodOfNewOnes) {
   World world(1, TestSettings(), 200);  // 90 of them for clients
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 150; ++i) {
     flood.push_back(world.Connect());
     world.io.poll();
   }
   const auto client = world.Connect();
-  client->Send(ApiCall("r1"));
+  client->Send(ApiRequest("r1"));
   EXPECT_EQ(client->Await().result(), http::status::ok);
   std::size_t closed = 0;
   EXPECT_TRUE(world.Until([&] {
@@ -830,7 +835,7 @@
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(world.Connect());
-    clients.back()->Send(ApiCall("r" + std::to_string(i), "view", "0m"));
+    clients.back()->Send(ApiRequest("r" + std::to_string(i), "view", "0m"));
   }
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
 }
@@ -840,11 +845,11 @@
 // ones.
 TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheSoftLimit) {
   World world(1, TestSettings(), 100);
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
   const auto ask_once = [&] {
     clients.push_back(world.Connect());
-    clients.back()->Send(ApiCall("r" + std::to_string(clients.size())));
+    clients.back()->Send(ApiRequest("r" + std::to_string(clients.size())));
     EXPECT_EQ(clients.back()->Await().result(), http::status::ok);
   };
   const auto open = [&] {
@@ -856,7 +861,7 @@
 
   world.gateway->Stop([] {}, {20000, 20000, 20000});
   ask_once();
-  clients[5]->Send(ApiCall("again"));
+  clients[5]->Send(ApiRequest("again"));
   EXPECT_EQ(clients[5]->Await(2).result(), http::status::ok);
   EXPECT_EQ(open(), 31);
 }
@@ -868,7 +873,7 @@
   const auto idle = world.Connect(), busy = world.Connect();
   idle->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(idle->Await().result(), http::status::ok);
-  busy->Send(ApiCall("r1", "pay"));
+  busy->Send(ApiRequest("r1", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   bool done = false;
   world.gateway->Stop([&] { done = true; }, {500, 500, 20000});
@@ -876,7 +881,7 @@
   late->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(late->Await().result(), http::status::service_unavailable);
   const auto queued = world.Connect();
-  queued->Send(ApiCall("r2", "pay"));
+  queued->Send(ApiRequest("r2", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
   EXPECT_TRUE(idle->AwaitEnd());
   EXPECT_FALSE(done);
@@ -896,12 +901,12 @@
 // usual.
 TEST(Gateway, ServesKeepAliveConnectionsUntilTheDrainBegins) {
   World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   bool done = false;
   world.gateway->Stop([&] { done = true; }, {1, 1000, 20000});
   for (std::size_t i = 1; i <= 3; ++i) {
-    client->Send(ApiCall("r" + std::to_string(i)));
+    client->Send(ApiRequest("r" + std::to_string(i)));
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
   }
   EXPECT_TRUE(client->answers()[0].keep_alive());
@@ -914,7 +919,7 @@
 TEST(Gateway, FailsPendingRequestsAtTheEndOfTheStop) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "20000m"));
+  client->Send(ApiRequest("r1", "pay", "20000m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   bool done = false;
   world.gateway->Stop([&] { done = true; });
--- a/tests/peers.hpp
+++ b/tests/peers.hpp
@@ -29,8 +29,8 @@
 
 inline tcp::endpoint Loopback(unsigned short port = 0) { return {asio::ip::address_v4::loopback(), port}; }
 
-inline std::string ToText(const tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+inline std::string ToText(const tcp::endpoint& address) {
+  return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
 // Runs the loop until `done`; false after half a minute, which no healthy run comes near.
@@ -47,7 +47,7 @@
 // A server that keeps each request until the test says what becomes of it.
 class Peer {
  public:
-  struct Taken;
+  struct ReceivedRequest;
   struct Connection : std::enable_shared_from_this<Connection> {
     Connection(Peer& owner, tcp::socket s) : peer(owner), socket(std::move(s)) {}
 
@@ -59,10 +59,10 @@
           self->ended = true;
           return;
         }
-        Taken taken{self->parser->release(), self};
+        ReceivedRequest received{self->parser->release(), self};
         self->Read();
-        if (self->peer.keep) self->peer.requests.push_back(taken);
-        if (self->peer.serve) self->peer.serve(taken);
+        if (self->peer.keeps_requests) self->peer.requests.push_back(received);
+        if (self->peer.serve) self->peer.serve(received);
       });
     }
     void Raw(std::string text) {
@@ -87,9 +87,9 @@
     bool ended = false;  // by the gateway
   };
 
-  struct Taken {
+  struct ReceivedRequest {
     HttpRequest http;
-    std::shared_ptr<Connection> on;
+    std::shared_ptr<Connection> connection;
 
     void Answer(int status, std::string body, const std::string& field = "",
                 const std::string& value = "") const {
@@ -99,7 +99,7 @@
       if (!field.empty()) response.set(field, value);
       std::ostringstream text;
       text << response;
-      on->Raw(text.str());
+      connection->Raw(text.str());
     }
   };
 
@@ -111,20 +111,20 @@
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void StopListening() { acceptor_.close(); }
   // As if the machine had gone: its connections break, and none comes up until it is back.
-  void Vanish() {
-    at_ = acceptor_.local_endpoint();
+  void GoOffline() {
+    address_ = acceptor_.local_endpoint();
     acceptor_.close();
     for (const auto& connection : std::exchange(connections, {})) connection->Reset();
   }
-  void ComeBack() {
-    acceptor_ = tcp::acceptor(io_, at_);
+  void GoOnline() {
+    acceptor_ = tcp::acceptor(io_, address_);
     Accept();
   }
 
-  bool keep = true;  // what came, in `requests`: off where a run is long
-  std::vector<Taken> requests;
+  bool keeps_requests = true;  // what came, in `requests`: off where a run is long
+  std::vector<ReceivedRequest> requests;
   std::vector<std::shared_ptr<Connection>> connections;
-  std::function<void(const Taken&)> serve;  // if set, called for each request
+  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request
 
  private:
   void Accept() {
@@ -138,14 +138,14 @@
 
   asio::io_context& io_;
   tcp::acceptor acceptor_;
-  tcp::endpoint at_;
+  tcp::endpoint address_;
 };
 
 // A client on one connection.
 class Client {
  public:
-  Client(asio::io_context& io, const tcp::endpoint& at) : io_(io), state_(std::make_shared<State>(io)) {
-    state_->socket.connect(at);
+  Client(asio::io_context& io, const tcp::endpoint& address) : io_(io), state_(std::make_shared<State>(io)) {
+    state_->socket.connect(address);
     Read(state_);
   }
   ~Client() { Leave(); }
@@ -202,21 +202,24 @@
 };
 
 // A request as clients send it. `more` holds further header lines, each with its line end.
-inline std::string ApiCall(const std::string& id, const std::string& cls = "view",
-                           const std::string& deadline = "5000m", const std::string& body = "",
-                           const std::string& more = "") {
-  const bool safe = cls == "view";
+inline std::string ApiRequest(const std::string& id, const std::string& class_name = "view",
+                              const std::string& deadline = "5000m", const std::string& body = "",
+                              const std::string& extra_headers = "") {
+  const bool safe = class_name == "view";
   std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\n";
-  text += "Req-Id: " + id + "\r\nReq-Kind: " + cls + "\r\nReq-Deadline: " + deadline + "\r\n" + more;
+  text += "Req-Id: " + id + "\r\nReq-Kind: " + class_name + "\r\nReq-Deadline: " + deadline + "\r\n" +
+          extra_headers;
   if (!safe || !body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   return text + "\r\n" + body;
 }
 
 // A member of discovery's list.
-inline nlohmann::json Member(const std::string& id, const tcp::endpoint& at,
+inline nlohmann::json Member(const std::string& id, const tcp::endpoint& address,
                              const std::string& phase = "up") {
-  return {{"id", id},  {"host_port", ToText(at)}, {"locality", "a"}, {"flavor", "m"},
-          {"cell", 0}, {"phase", phase},          {"size", 1.0},     {"up_since_ms", 0}};
+  return {{"id", id},        {"host_port", ToText(address)},
+          {"locality", "a"}, {"flavor", "m"},
+          {"cell", 0},       {"phase", phase},
+          {"size", 1.0},     {"up_since_ms", 0}};
 }
 
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -72,7 +72,7 @@
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
   ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it listens by then
   Client client(io, listen);
-  client.Send(ApiCall("r1", "pay"));
+  client.Send(ApiRequest("r1", "pay"));
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
   process.Terminate();
   // The work is answered only once the gateway is seen to be stopping.
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -65,10 +65,10 @@
 
 // A gateway with scripted hosts on one event loop.
 struct World {
-  Peer& Host(Broken how = Broken::kNot, const std::string& name = "") {
+  Peer& Host(HostFailure how = HostFailure::kNone, const std::string& name = "") {
     hosts.push_back(std::make_unique<Peer>(io));
     addresses.push_back(hosts.back()->address());
-    Behave(*hosts.back(), how, name);
+    ScriptHost(*hosts.back(), how, name);
     return *hosts.back();
   }
   void Start(const std::string& text) { gateway.emplace(io, Parsed(text), 7); }
@@ -88,8 +88,8 @@
 // Guards against requests sent to another pool than their route's, and against changed targets or headers.
 TEST(Services, RoutesEachRequestToItsPool) {
   World world;
-  const auto a = world.Host(Broken::kNot, "from a").address(),
-             b = world.Host(Broken::kNot, "from b").address();
+  const auto a = world.Host(HostFailure::kNone, "from a").address(),
+             b = world.Host(HostFailure::kNone, "from b").address();
   world.Start(std::string(kTop) + PoolText("a", {a}) + PoolText("b", {b}) + RoutesText("a") +
               RoutesText("b"));
   const auto client = world.Connect();
@@ -114,13 +114,13 @@
 TEST(Services, ForwardsHostResponsesInAPlainPool) {
   World world;
   Peer& host = world.Host();
-  host.serve = [](const Peer::Taken& taken) {
+  host.serve = [](const Peer::ReceivedRequest& taken) {
     const std::string target(taken.http.target());
     const int status = std::stoi(target.substr(target.rfind('/') + 1));
     if (status == 204 || status == 304)
-      return taken.on->Raw("HTTP/1.1 " + std::to_string(status) + " X\r\n\r\n");
+      return taken.connection->Raw("HTTP/1.1 " + std::to_string(status) + " X\r\n\r\n");
     if (taken.http.method() == http::verb::head)
-      return taken.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
+      return taken.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
     taken.Answer(status, "body", "X-Own", "1");
   };
   world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
@@ -149,8 +149,8 @@
 TEST(Services, AnswersHeadWithoutABody) {
   World world;
   Peer& host = world.Host();
-  host.serve = [](const Peer::Taken& taken) {
-    taken.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
+  host.serve = [](const Peer::ReceivedRequest& taken) {
+    taken.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
   };
   world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
   tcp::socket socket(world.io);
@@ -232,8 +232,8 @@
        "/a", "h"},
   };
   World world;
-  Peer& a = world.Host(Broken::kNot, "a");
-  Peer& b = world.Host(Broken::kNot, "b");
+  Peer& a = world.Host(HostFailure::kNone, "a");
+  Peer& b = world.Host(HostFailure::kNone, "b");
   world.Start(std::string(kTop) + PoolText("a", {a.address()}) + PoolText("b", {b.address()}) +
               RoutesText("a") + RoutesText("b"));
   for (const Raw& raw : cases) {
@@ -260,9 +260,10 @@
 
 // Loads two healthy pools fully, and a third one whose host fails as given; without load on the third for
 // kNot.
-Shares LoadBeside(Broken how) {
+Shares LoadBeside(HostFailure how) {
   World world;
-  const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
+  const auto one = world.Host(HostFailure::kNone, "one").address(),
+             two = world.Host(HostFailure::kNone, "two").address();
   world.Host(how, "three");
   const auto broken = world.addresses.back();
   world.Start(std::string(kTop) + PoolText("one", {one}) + PoolText("two", {two}) +
@@ -271,7 +272,7 @@
   // More clients than the broken pool's share of the client connections: it must not get the others' share
   // too.
   std::optional<Load> third;
-  if (how != Broken::kNot)
+  if (how != HostFailure::kNone)
     third.emplace(world.io, at, 250, 100000, [](std::size_t) { return Get("/three"); });
   Load first(world.io, at, 16, 1500, [](std::size_t) { return Get("/one"); });
   Load second(world.io, at, 16, 1500,
@@ -282,12 +283,12 @@
   return {first.ServedShare(), second.ServedShare(), first.Quantile(0.99), second.Quantile(0.99)};
 }
 
-class BesideABrokenPool : public ::testing::TestWithParam<Broken> {};
+class BesideABrokenPool : public ::testing::TestWithParam<HostFailure> {};
 
 // Guards healthy pools against one that fails completely. Only the served share is bounded here; latencies
 // are compared in bench/, on a quiet machine.
 TEST_P(BesideABrokenPool, HealthyPoolsKeepTheirServedShare) {
-  const Shares alone = LoadBeside(Broken::kNot);
+  const Shares alone = LoadBeside(HostFailure::kNone);
   const Shares beside = LoadBeside(GetParam());
   EXPECT_EQ(alone.one, 1);
   EXPECT_EQ(alone.two, 1);
@@ -297,21 +298,21 @@
   RecordProperty("p99_beside_us", static_cast<int>(beside.one_p99 * 1000));
 }
 
-std::string NameOf(const ::testing::TestParamInfo<Broken>& info) {
+std::string NameOf(const ::testing::TestParamInfo<HostFailure>& info) {
   static const char* const kNames[] = {"Not", "Hangs", "Refuses", "Errors", "Sends3GB"};
   return kNames[static_cast<int>(info.param)];
 }
 
 INSTANTIATE_TEST_SUITE_P(Services, BesideABrokenPool,
-                         ::testing::Values(Broken::kHangs, Broken::kRefuses, Broken::kErrors,
-                                           Broken::kEndless),
+                         ::testing::Values(HostFailure::kHang, HostFailure::kRefuseConnections,
+                                           HostFailure::kRespond500, HostFailure::kEndlessResponse),
                          NameOf);
 
 // Guards the descriptors of one pool against another that takes all it can get.
 TEST(Services, APoolThatExhaustsItsDescriptorsLeavesOthersTheirs) {
   World world;
-  Peer& hung = world.Host(Broken::kHangs);
-  Peer& good = world.Host(Broken::kNot, "good");
+  Peer& hung = world.Host(HostFailure::kHang);
+  Peer& good = world.Host(HostFailure::kNone, "good");
   world.Start(std::string(kTop) +
               PoolText("hung", {hung.address()}, "limits = { descriptors = { most = 5 } }\n") +
               PoolText("good", {good.address()}, "limits = { descriptors = { guaranteed = 20 } }\n") +
@@ -333,7 +334,8 @@
 // Guards other tenants of a pool, and other pools, against one tenant that floods the pool.
 TEST(Services, AFloodOfOneTenantLeavesOtherTenantsAndPoolsServed) {
   World world;
-  const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
+  const auto one = world.Host(HostFailure::kNone, "one").address(),
+             two = world.Host(HostFailure::kNone, "two").address();
   world.Start(std::string(kTop) +
               "[[tenant]]\nid = \"flood\"\nshare = 1\n[[tenant]]\nid = \"calm\"\nshare = 0\n" +
               PoolText("one", {one}, "limits = { in_flight = 2, queue = 60 }\n") + PoolText("two", {two}) +
@@ -351,7 +353,7 @@
 // Retry-After.
 TEST(Services, APoolEnforcesItsRequestRateLimit) {
   World world;
-  Peer& host = world.Host(Broken::kNot, "a");
+  Peer& host = world.Host(HostFailure::kNone, "a");
   world.Start(std::string(kTop) +
               PoolText("a", {host.address()}, "limits = { requests_per_second = 0.01, burst = 3 }\n") +
               RoutesText("a"));
@@ -370,8 +372,8 @@
 // Guards the body memory of one pool against clients of another that announce bodies and never send them.
 TEST(Services, UnsentBodiesOfOnePoolLeaveMemoryForOthers) {
   World world;
-  Peer& a = world.Host(Broken::kNot, "a");
-  Peer& b = world.Host(Broken::kNot, "b");
+  Peer& a = world.Host(HostFailure::kNone, "a");
+  Peer& b = world.Host(HostFailure::kNone, "b");
   world.Start(std::string(kTop) +
               PoolText("a", {a.address()}, "limits = { body_memory = { most = \"128KiB\" } }\n") +
               PoolText("b", {b.address()}) + RoutesText("a") + RoutesText("b"));
@@ -400,9 +402,9 @@
 // pool's list is seconds behind and still says that it is up.
 TEST(Services, ADrainReportedByOnePoolAppliesToTheNodeInBothPools) {
   World world;
-  Peer& shared = world.Host(Broken::kNot, "shared");
-  Peer& only_b = world.Host(Broken::kNot, "b");
-  Peer& only_a = world.Host(Broken::kNot, "a");
+  Peer& shared = world.Host(HostFailure::kNone, "shared");
+  Peer& only_b = world.Host(HostFailure::kNone, "b");
+  Peer& only_a = world.Host(HostFailure::kNone, "a");
   Peer discovery(world.io);
   const std::string path = ::testing::TempDir() + "forkwick-pool-a-" + std::to_string(getpid()) + ".json";
   const auto write = [&](const std::string& phase) {
@@ -415,7 +417,7 @@
               "\" }\n" + "[[pool]]\nid = \"b\"\nmembership = { source = \"discovery\", address = \"" +
               ToText(discovery.address()) + "\" }\n" + RoutesText("a") + RoutesText("b"));
   // The second pool's list says that both hosts are up, and does not change during the test.
-  discovery.serve = [&, revision = 0](const Peer::Taken& taken) mutable {
+  discovery.serve = [&, revision = 0](const Peer::ReceivedRequest& taken) mutable {
     if (revision++ > 0) return;
     taken.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
   };
@@ -425,7 +427,7 @@
   Load to_b(world.io, at, 4, 1000000, [](std::size_t) { return Get("/b"); });
   const auto from = [&](char pool) {
     return std::count_if(shared.requests.begin(), shared.requests.end(),
-                         [&](const Peer::Taken& taken) { return taken.http.target()[1] == pool; });
+                         [&](const Peer::ReceivedRequest& taken) { return taken.http.target()[1] == pool; });
   };
   ASSERT_TRUE(world.Until([&] { return from('a') > 20 && from('b') > 20; }));
   write("draining");
@@ -448,7 +450,8 @@
 // Guards requests in progress against reloads: under load, a new file every 50 ms, every second one invalid.
 TEST(Services, ReloadsEvery50MsUnderLoadLoseNoRequest) {
   World world;
-  const auto one = world.Host(Broken::kNot, "one").address(), two = world.Host(Broken::kNot, "two").address();
+  const auto one = world.Host(HostFailure::kNone, "one").address(),
+             two = world.Host(HostFailure::kNone, "two").address();
   const auto text = [&](int round) {
     // Pool "one" changes with each valid file, pool "two" never; "extra" and its listener are added and
     // removed.
@@ -499,8 +502,8 @@
 // Guards unsafe requests in a pool that a reload removes: each must run once and be answered once.
 TEST(Services, ARemovedPoolEndsItsUnsafeRequestsExactlyOnce) {
   World world;
-  Peer& old = world.Host(Broken::kHangs);
-  Peer& rest = world.Host(Broken::kNot, "rest");
+  Peer& old = world.Host(HostFailure::kHang);
+  Peer& rest = world.Host(HostFailure::kNone, "rest");
   const std::string kept = PoolText("rest", {rest.address()}) + RoutesText("rest");
   world.Start(std::string(kTop) + PoolText("old", {old.address()}) + kept + RoutesText("old"));
   std::vector<std::unique_ptr<Client>> clients;
@@ -514,8 +517,8 @@
   const auto late = world.Connect();
   late->Send(Post("/old", "late"));
   EXPECT_EQ(late->Await().result_int(), 404u);
-  old.requests[0].on->Reset();        // may have run: a failure, without a retry
-  old.requests[1].Answer(500, "no");  // the same
+  old.requests[0].connection->Reset();  // may have run: a failure, without a retry
+  old.requests[1].Answer(500, "no");    // the same
   for (std::size_t i = 2; i < 6; ++i) old.requests[i].Answer(200, "done");
   std::map<unsigned, int> statuses;
   for (const auto& client : clients) ++statuses[client->Await().result_int()];
@@ -532,7 +535,7 @@
 // change.
 TEST(Services, AReloadThatCanNotListenChangesNothing) {
   World world;
-  const auto one = world.Host(Broken::kNot, "one").address();
+  const auto one = world.Host(HostFailure::kNone, "one").address();
   world.Start(std::string(kTop) + PoolText("one", {one}) + RoutesText("one"));
   const auto before = world.gateway->pool("one");
   tcp::acceptor taken(world.io, Loopback());
--- a/tests/standins/load.hpp
+++ b/tests/standins/load.hpp
@@ -20,19 +20,19 @@
 class Load {
  public:
   // `request` words the n-th request.
-  Load(asio::io_context& io, const tcp::endpoint& at, std::size_t connections, std::size_t requests,
-       std::function<std::string(std::size_t)> request)
-      : io_(io), at_(at), left_(requests), request_(std::move(request)) {
+  Load(asio::io_context& io, const tcp::endpoint& address, std::size_t connections, std::size_t requests,
+       std::function<std::string(std::size_t)> make_request)
+      : io_(io), address_(address), remaining_(requests), make_request_(std::move(make_request)) {
     for (std::size_t i = 0; i < connections; ++i) {
-      callers_.push_back(std::make_shared<Caller>(*this));
-      callers_.back()->Connect();
+      clients_.push_back(std::make_shared<LoadClient>(*this));
+      clients_.back()->Connect();
     }
   }
   ~Load() {
-    for (const auto& caller : callers_) caller->End();
+    for (const auto& client : clients_) client->Stop();
   }
 
-  bool Done() const { return left_ == 0 && out_ == 0; }
+  bool Done() const { return remaining_ == 0 && in_flight_ == 0; }
   std::size_t served() const { return Count(200); }
   std::size_t Count(unsigned status) const {
     const auto found = answers.find(status);
@@ -47,11 +47,11 @@
     return Total() == 0 ? 0 : static_cast<double>(served()) / static_cast<double>(Total());
   }
   // Milliseconds that a part of the served requests took at most; 0 if there are none.
-  double Quantile(double part) {
+  double Quantile(double fraction) {
     if (times.empty()) return 0;
     std::sort(times.begin(), times.end());
     return times[std::min(times.size() - 1,
-                          static_cast<std::size_t>(part * static_cast<double>(times.size())))];
+                          static_cast<std::size_t>(fraction * static_cast<double>(times.size())))];
   }
 
   std::map<unsigned, std::size_t> answers;    // by status
@@ -61,52 +61,53 @@
 
  private:
   using Clock = std::chrono::steady_clock;
-  struct Caller : std::enable_shared_from_this<Caller> {
-    explicit Caller(Load& owner) : load(&owner), socket(owner.io_) {}
+  struct LoadClient : std::enable_shared_from_this<LoadClient> {
+    explicit LoadClient(Load& owner) : load(&owner), socket(owner.io_) {}
 
     void Connect() {
-      if (load == nullptr || load->left_ == 0) return;
+      if (load == nullptr || load->remaining_ == 0) return;
       socket = tcp::socket(load->io_);
       buffer.consume(buffer.size());
-      socket.async_connect(load->at_, [self = shared_from_this()](error_code ec) {
+      socket.async_connect(load->address_, [self = shared_from_this()](error_code ec) {
         if (self->load == nullptr) return;
-        ec ? self->Lost() : self->Ask();
+        ec ? self->OnConnectionLost() : self->SendNext();
       });
     }
-    void Ask() {
-      if (load == nullptr || load->left_ == 0) return;
-      --load->left_;
-      ++load->out_;
-      begun = Clock::now();
-      text = load->request_(load->asked_++);
+    void SendNext() {
+      if (load == nullptr || load->remaining_ == 0) return;
+      --load->remaining_;
+      ++load->in_flight_;
+      sent_at = Clock::now();
+      text = load->make_request_(load->sent_++);
       asio::async_write(socket, asio::buffer(text), [self = shared_from_this()](error_code ec, std::size_t) {
         if (self->load == nullptr) return;
-        if (ec) return self->Lost();
+        if (ec) return self->OnConnectionLost();
         self->parser.emplace();
         http::async_read(self->socket, self->buffer, *self->parser,
-                         [self](error_code read_ec, std::size_t) { self->Answered(read_ec); });
+                         [self](error_code read_ec, std::size_t) { self->OnResponse(read_ec); });
       });
     }
-    void Answered(error_code ec) {
+    void OnResponse(error_code ec) {
       if (load == nullptr) return;
-      if (ec) return Lost();
-      --load->out_;
-      const auto& answer = parser->get();
-      ++load->answers[answer.result_int()];
-      if (answer.count(gateway::kCauseHeader) > 0) ++load->causes[std::string(answer[gateway::kCauseHeader])];
-      if (answer.result_int() == 200) {
-        load->times.push_back(std::chrono::duration<double, std::milli>(Clock::now() - begun).count());
+      if (ec) return OnConnectionLost();
+      --load->in_flight_;
+      const auto& response = parser->get();
+      ++load->answers[response.result_int()];
+      if (response.count(gateway::kCauseHeader) > 0)
+        ++load->causes[std::string(response[gateway::kCauseHeader])];
+      if (response.result_int() == 200) {
+        load->times.push_back(std::chrono::duration<double, std::milli>(Clock::now() - sent_at).count());
       }
-      answer.keep_alive() ? Ask() : Connect();
+      response.keep_alive() ? SendNext() : Connect();
     }
-    void Lost() {
-      if (load->out_ > 0) {
-        --load->out_;
+    void OnConnectionLost() {
+      if (load->in_flight_ > 0) {
+        --load->in_flight_;
         ++load->lost;
       }
       Connect();
     }
-    void End() {
+    void Stop() {
       load = nullptr;
       error_code ignored;
       socket.close(ignored);
@@ -117,31 +118,31 @@
     boost::beast::flat_buffer buffer;
     std::optional<http::response_parser<http::string_body>> parser;
     std::string text;
-    Clock::time_point begun;
+    Clock::time_point sent_at;
   };
 
   asio::io_context& io_;
-  const tcp::endpoint at_;
-  std::size_t left_, out_ = 0, asked_ = 0;
-  const std::function<std::string(std::size_t)> request_;
-  std::vector<std::shared_ptr<Caller>> callers_;
+  const tcp::endpoint address_;
+  std::size_t remaining_, in_flight_ = 0, sent_ = 0;
+  const std::function<std::string(std::size_t)> make_request_;
+  std::vector<std::shared_ptr<LoadClient>> clients_;
 };
 
 // How a host fails whole.
-enum class Broken { kNot, kHangs, kRefuses, kErrors, kEndless };
+enum class HostFailure { kNone, kHang, kRefuseConnections, kRespond500, kEndlessResponse };
 
 // Has the peer answer 200 with its name, or fail.
-inline void Behave(Peer& peer, Broken how, const std::string& name) {
-  if (how == Broken::kRefuses) return peer.StopListening();
-  peer.serve = [how, name](const Peer::Taken& taken) {
-    if (how == Broken::kNot) taken.Answer(200, name);
-    if (how == Broken::kErrors) taken.Answer(500, "no");
-    if (how != Broken::kEndless) return;
+inline void ScriptHost(Peer& peer, HostFailure failure, const std::string& name) {
+  if (failure == HostFailure::kRefuseConnections) return peer.StopListening();
+  peer.serve = [failure, name](const Peer::ReceivedRequest& request) {
+    if (failure == HostFailure::kNone) request.Answer(200, name);
+    if (failure == HostFailure::kRespond500) request.Answer(500, "no");
+    if (failure != HostFailure::kEndlessResponse) return;
     // 3 GB are promised, and sent for as long as anybody reads.
-    taken.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n");
+    request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n");
     const auto block = std::make_shared<std::string>(64 * 1024, 'x');
     const auto send = std::make_shared<std::function<void(error_code, std::size_t)>>();
-    *send = [on = taken.on, block, weak = std::weak_ptr(send)](error_code ec, std::size_t) {
+    *send = [on = request.connection, block, weak = std::weak_ptr(send)](error_code ec, std::size_t) {
       const auto again = weak.lock();
       if (ec || !again) return;
       asio::async_write(on->socket, asio::buffer(*block),
