--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,4 +1,5 @@
-// What the module makes of faults that are not overload: chance, late answers, clients without patience.
+// Tests of the decision module under faults that are not overload: random failures, late responses, short
+// client time-outs.
 #include <gtest/gtest.h>
 
 #include "gateway.hpp"
@@ -15,8 +16,8 @@
   return Cause::kUnknownClass;
 }
 
-// Asks for `n` unsafe requests, one after the other, each of which ends after 10 ms as `result` says by its
-// number and server. Returns the servers they were sent to; empty where one was held.
+// Submits `n` unsafe requests one after the other. Each ends after 10 ms with `result(number, server)`.
+// Returns the server of each request; empty if it was not sent.
 template <typename ResultOf>
 std::vector<std::string> SentOneByOne(Gateway& g, int n, ResultOf result) {
   std::vector<std::string> sent;
@@ -29,9 +30,9 @@
   return sent;
 }
 
-// Guards a fleet in which each attempt may break by chance: left out one after the other, servers would leave
-// nowhere to send.
-TEST(Faults, HalfOfTheServersStayWhereAllFailAlike) {
+// Guards against ejecting one server after the other for random failures that all of them show: none would be
+// left.
+TEST(Faults, RandomFailuresOfAllServersEjectAtMostHalf) {
   Gateway g;
   g.Servers(4);
   int broken = 0;
@@ -44,8 +45,9 @@
   EXPECT_GT(broken, 100);
 }
 
-// And with only one left of four that are gone whole, that one has it all.
-TEST(Faults, ServersThatServeNothingAreLeftOutEvenWhereFewRemain) {
+// Guards against sending to servers that fail every attempt: with three of four down, the fourth must get all
+// requests.
+TEST(Faults, ServersThatServeNothingAreEjectedEvenIfFewRemain) {
   Gateway g;
   g.Servers(4);
   g.Serve(80);
@@ -56,12 +58,13 @@
   EXPECT_LE(std::count_if(sent.begin() + 100, sent.end(), in_vain), 20) << "of 200 requests";
 }
 
-// Resends are counted where they add to a jam, not where servers have room and an attempt broke by itself.
-TEST(Faults, BrokenAttemptsGoElsewhereHoweverManyWhileServersHaveRoom) {
+// Guards against a retry budget that refuses retries although servers are idle: it is to limit only retries
+// that would add to an overload.
+TEST(Faults, FailedAttemptsAreRetriedWithoutLimitWhileServersAreIdle) {
   Gateway g;
   g.Servers(300);
   g.Serve(200);
-  int further = 0;
+  int retries = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string to = Gateway::SentTo(g.Ask(id));
@@ -69,50 +72,53 @@
     g.now += 20;
     const std::string next = Gateway::SentTo(g.End(id, to, Result::kReset, 20));
     if (next.empty()) continue;
-    ++further;
+    ++retries;
     EXPECT_NE(next, to);
     g.now += 20;
     g.End(id, next, Result::kServed, 20, 1);
   }
-  EXPECT_EQ(further, 400);
+  EXPECT_EQ(retries, 400);
 }
 
-// Requests that a server of 10 ms is given at once, after 100 rounds in which every n-th answer comes at 500
-// ms.
-std::size_t OutWithLateAnswers(int every) {
+// Returns the number of requests in flight to a server of 10 ms latency, after 100 rounds in which every n-th
+// response takes 500 ms.
+std::size_t InFlightWithLateResponses(int every) {
   Gateway g;
   g.Servers(1);
-  std::size_t out = 0;
+  std::size_t in_flight = 0;
   for (int round = 0, asked = 0, ended = 0; round < 200; ++round) {
     for (int i = 0; i < 12; ++i) g.Ask("r" + std::to_string(++asked));
     g.Pass(10);
-    out = g.sent.size();
+    in_flight = g.sent.size();
     for (std::size_t i = 0; i < g.sent.size(); ++i) {
       g.End(g.sent[i].request, "s0", Result::kServed,
             round >= 100 && every > 0 && ++ended % every == 0 ? 500 : 10);
     }
     g.sent.clear();
   }
-  return out;
+  return in_flight;
 }
 
-// Guards limits against answers that were held up on their way: one in fifty had halved them for good.
-TEST(Faults, OneLateAnswerInFiftyIsNoJam) {
-  EXPECT_GE(OutWithLateAnswers(0), 12u);
-  EXPECT_GE(OutWithLateAnswers(50), 10u);
-  EXPECT_LE(OutWithLateAnswers(1), 3u) << "but where all are, it is";
+// Guards concurrency limits against responses delayed on the way: one in fifty once halved the limit
+// permanently.
+TEST(Faults, OneLateResponseInFiftyDoesNotLowerTheConcurrencyLimit) {
+  EXPECT_GE(InFlightWithLateResponses(0), 12u);
+  EXPECT_GE(InFlightWithLateResponses(50), 10u);
+  EXPECT_LE(InFlightWithLateResponses(1), 3u) << "if all responses are late, the limit must fall";
 }
 
-// Guards requests of clients that wait briefly: they were refused for want of time in which to refuse them.
-TEST(Faults, LittleTimeIsEnoughWhereServersAreIdle) {
+// Guards requests with short deadlines: they were once refused because too little time was left to refuse
+// them later.
+TEST(Faults, ShortDeadlinesAreAcceptedWhileServersAreIdle) {
   Gateway g;
   g.Servers(2);
   EXPECT_NE(Gateway::SentTo(g.Ask("a", "view", 15)), "");
   EXPECT_EQ(CauseOf(g.Ask("b", "view", 0)), Cause::kInsufficientTime);
 }
 
-// Guards servers against clients that leave before any server could have answered.
-TEST(Faults, ClientsThatLeaveEarlyDoNotMakeServersSuspect) {
+// Guards servers against ejection for time-outs of clients that give up before any server could have
+// responded.
+TEST(Faults, ShortClientDeadlinesDoNotEjectServers) {
   Gateway g;
   g.Servers(2);
   g.Serve(40);
@@ -125,7 +131,8 @@
   }
 }
 
-TEST(Faults, ARefusalNamesItsCause) {
+// Guards against a refusal or failure with the wrong cause.
+TEST(Faults, RefusalsAndFailuresNameTheirCause) {
   Settings s = MakeSettings();
   Gateway none(s);
   EXPECT_EQ(CauseOf(none.Ask("a", "nonsense")), Cause::kUnknownClass);
@@ -144,8 +151,8 @@
   EXPECT_EQ(CauseOf(g.End("unsafe", to, Result::kReset, 10)), Cause::kMayHaveRun);
 }
 
-// Guards the weights after a night without requests: fading sums ended in numbers that are none.
-TEST(Faults, WeightsOutliveHoursWithoutRequests) {
+// Guards the class weights after hours without requests: decaying sums once became NaN.
+TEST(Faults, ClassWeightsStayValidAfterHoursWithoutRequests) {
   Settings s = MakeSettings();
   s.classes = {MakeClass("cheap", Effect::kSafe, 1), MakeClass("dear", Effect::kSafe, 9)};
   s.worst_class_weight = 0.1;
--- a/tests/peers.hpp
+++ b/tests/peers.hpp
@@ -1,5 +1,5 @@
-// The other side of the gateway's sockets, for tests: scripted servers and clients on loopback. They share
-// the gateway's event loop, and tests wait for what they expect instead of for time to pass.
+// Scripted servers and clients on loopback for end-to-end tests. They share the gateway's event loop; tests
+// wait for expected conditions instead of fixed times.
 #ifndef OPALSWITCH_TESTS_PEERS_HPP_
 #define OPALSWITCH_TESTS_PEERS_HPP_
 
@@ -33,7 +33,7 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-// Runs the loop until `done`; false after half a minute, which no healthy run comes near.
+// Runs the event loop until `done()`; returns false after 30 s, far more than any healthy run takes.
 template <typename Done>
 bool RunUntil(asio::io_context& io, Done done) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -44,7 +44,7 @@
   return true;
 }
 
-// A server that keeps each request until the test says what becomes of it.
+// An HTTP server that keeps each request until the test responds to it.
 class Peer {
  public:
   struct ReceivedRequest;
@@ -84,7 +84,7 @@
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::optional<http::request_parser<http::string_body>> parser;
-    bool ended = false;  // by the gateway
+    bool ended = false;  // closed by the gateway
   };
 
   struct ReceivedRequest {
@@ -110,7 +110,7 @@
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void StopListening() { acceptor_.close(); }
-  // As if the machine had gone: its connections break, and none comes up until it is back.
+  // Simulates a lost machine: resets all connections and accepts none until GoOnline.
   void GoOffline() {
     address_ = acceptor_.local_endpoint();
     acceptor_.close();
@@ -121,10 +121,10 @@
     Accept();
   }
 
-  bool keeps_requests = true;  // what came, in `requests`: off where a run is long
+  bool keeps_requests = true;  // store requests in `requests`; disable for long runs
   std::vector<ReceivedRequest> requests;
   std::vector<std::shared_ptr<Connection>> connections;
-  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request
+  std::function<void(const ReceivedRequest&)> serve;  // called for each request, if set
 
  private:
   void Accept() {
@@ -141,7 +141,7 @@
   tcp::endpoint address_;
 };
 
-// A client on one connection.
+// An HTTP client with one connection.
 class Client {
  public:
   Client(asio::io_context& io, const tcp::endpoint& address) : io_(io), state_(std::make_shared<State>(io)) {
@@ -153,7 +153,7 @@
   Client& operator=(const Client&) = delete;
 
   void Send(const std::string& text) {
-    error_code ignored;  // a gateway may close on what it has read enough of
+    error_code ignored;  // the gateway may close before it has read everything
     asio::write(state_->socket, asio::buffer(text), ignored);
   }
   void Leave() {
@@ -161,21 +161,21 @@
     state_->socket.close(ignored);
   }
 
-  // Waits until `n` answers in all have come, and gives the last of them.
+  // Waits for the n-th response on this connection and returns it.
   const HttpResponse& Await(std::size_t n = 1) {
     static const HttpResponse kNone(http::status::unknown, 11);
     if (RunUntil(io_, [&] { return answers().size() >= n; })) return answers()[n - 1];
-    ADD_FAILURE() << "no answer " << n;
+    ADD_FAILURE() << "no response " << n;
     return kNone;
   }
   bool AwaitEnd() {
     return RunUntil(io_, [&] { return ended(); });
   }
   const std::vector<HttpResponse>& answers() const { return state_->answers; }
-  bool ended() const { return state_->ended; }  // by the gateway
+  bool ended() const { return state_->ended; }  // closed by the gateway
 
  private:
-  struct State {  // outlives the client until its last read has ended
+  struct State {  // outlives the client until its last read has completed
     explicit State(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
@@ -201,7 +201,7 @@
   const std::shared_ptr<State> state_;
 };
 
-// A request as clients send it. `more` holds further header lines, each with its line end.
+// Returns a request in the platform's protocol. `extra_headers` are complete header lines with line ends.
 inline std::string ApiRequest(const std::string& id, const std::string& class_name = "view",
                               const std::string& deadline = "5000m", const std::string& body = "",
                               const std::string& extra_headers = "") {
@@ -213,7 +213,7 @@
   return text + "\r\n" + body;
 }
 
-// A member of discovery's list.
+// Returns a member of a discovery response.
 inline nlohmann::json Member(const std::string& id, const tcp::endpoint& address,
                              const std::string& phase = "up") {
   return {{"id", id},        {"host_port", ToText(address)},
@@ -222,11 +222,13 @@
           {"size", 1.0},     {"up_since_ms", 0}};
 }
 
+// Returns a discovery response.
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
   return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
 }
 
-// The configuration's settings: one safe class and one unsafe, with aims far above what a busy machine needs.
+// Returns platform settings with a safe, a keyed and an unsafe class, whose aims are far above what a busy
+// machine needs.
 inline nlohmann::json TestSettings() {
   const auto cls = [](const char* name, const char* effect) {
     return nlohmann::json{{"name", name},      {"sloMs", 20000.0},      {"deadlineMs", 20000.0},
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -1,5 +1,5 @@
-// Hosts that fail at random while none is overloaded, over loopback sockets: what fails by chance is to be
-// tried elsewhere, and not to be taken for a fleet that has too much to do.
+// Hosts that fail at random without being overloaded, over loopback sockets. Guards against taking random
+// failures for overload: they are to be retried on another host.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -37,7 +37,7 @@
 attempts = 3
 )";
 
-// Answers after a while, but for one attempt in five, which it breaks in some way; one in fifty takes long.
+// Responds after 15 to 34 ms, but fails one attempt in five in some way, and takes 1.2 s for one in fifty.
 class RandomHost {
  public:
   RandomHost(asio::io_context& io, unsigned seed, std::map<std::string, int>& executions)
@@ -51,7 +51,7 @@
  private:
   void Serve(const Peer::ReceivedRequest& request) {
     const unsigned outcome = random_() % 100;
-    if (outcome < 4) return request.connection->Reset();  // before it ran
+    if (outcome < 4) return request.connection->Reset();  // without executing it
     if (outcome < 8) return request.Answer(503, "", "Srv-Declined", "1");
     ++executions_[std::string(request.http["Number"])];
     if (outcome < 12) return request.connection->Close();
@@ -79,9 +79,9 @@
   return text;
 }
 
-TEST(RandomFaults, OneAttemptInFiveBrokenIsNoOverload) {
+TEST(RandomFaults, FailuresOfOneAttemptInFiveAreRetriedNotTakenForOverload) {
   asio::io_context io;
-  std::map<std::string, int> executions;  // executions, by request
+  std::map<std::string, int> executions;  // by request number
   std::vector<std::unique_ptr<RandomHost>> hosts;
   std::string text = kFile;
   for (unsigned i = 0; i < 3; ++i) {
@@ -91,7 +91,7 @@
   auto parsed = config::ParseServices(text, "test.toml", "");
   ASSERT_TRUE(parsed.services) << parsed.issues.front().ToText();
   gateway::ServiceGateway gateway(io, parsed.services, 7);
-  // One host in turn is gone for 0.3 s of each second.
+  // Each second, the next host is offline for 0.3 s.
   asio::steady_timer phase_timer(io);
   std::size_t phase = 0;
   std::function<void()> next = [&] {
@@ -114,8 +114,8 @@
   ASSERT_TRUE(RunUntil(io, [&] { return views.Done() && changes.Done(); }));
   phase_timer.cancel();
 
-  // Wanted are 97%; three tries of which each fails by 0.2 would serve 99.2. Seen on a busy machine: 93 to
-  // 99, in the mean 97.3 (21 runs); before attempts that break by chance were told from a jam, 87.
+  // The goal is 97%; three attempts that each fail with probability 0.2 would serve 99.2%. On a busy machine
+  // 21 runs served 93 to 99%, 97.3% on average; 87% while random failures were taken for overload.
   EXPECT_GE(views.ServedShare(), 0.90) << FormatCauses(views.causes);
   EXPECT_EQ(views.Total(), 1500u);
   EXPECT_EQ(views.lost + changes.lost, 0u);
@@ -124,7 +124,7 @@
       EXPECT_LE(times, 1) << number << " ran twice";
     }
   }
-  // Each answer that the gateway made itself says why.
+  // Every reply of the gateway itself must carry a cause.
   std::size_t with_cause = 0, local_replies = 0;
   for (const auto& [cause, count] : views.causes) with_cause += count;
   for (const auto& [status, count] : views.answers)
--- a/tests/services_text.hpp
+++ b/tests/services_text.hpp
@@ -1,4 +1,4 @@
-// The beginning of an operators' file, for tests: a listener, a safe class and an unsafe one.
+// Building blocks of operators' files for tests: a listener, a safe and an unsafe class, and routes.
 #ifndef OPALSWITCH_TESTS_SERVICES_TEXT_HPP_
 #define OPALSWITCH_TESTS_SERVICES_TEXT_HPP_
 
@@ -26,7 +26,7 @@
 deadline = "5s"
 )";
 
-// Routes "/one" and all else.
+// Routes "/one" to pool "one", everything else to pool "two".
 inline const std::string kRoutesToOneAndTwo = R"([[route]]
 prefix = "/one"
 pool = "one"
@@ -36,7 +36,7 @@
 class = "view"
 )";
 
-// A file that must be good.
+// Parses a file that must be valid; each issue fails the test.
 inline std::shared_ptr<const config::Services> Parsed(const std::string& text) {
   const auto parsed = config::ParseServices(text, "f", "");
   for (const config::Issue& issue : parsed.issues) ADD_FAILURE() << issue.ToText();
--- a/tests/standins/load.hpp
+++ b/tests/standins/load.hpp
@@ -1,5 +1,5 @@
-// Load for tests: clients that ask again as soon as they are answered, and hosts that fail in a chosen way.
-// All of it runs on the test's own event loop and ends when it has asked often enough.
+// Load generator for tests (closed-loop clients) and hosts that fail in a given way. Runs on the test's event
+// loop and ends after a given number of requests.
 #ifndef OPALSWITCH_TESTS_STANDINS_LOAD_HPP_
 #define OPALSWITCH_TESTS_STANDINS_LOAD_HPP_
 
@@ -15,11 +15,11 @@
 
 namespace opalswitch::testing {
 
-// `connections` clients on one kind of request, each with one connection at a time and one request out on it.
-// A closed connection is opened anew; a request that was lost on it counts as lost.
+// `connections` clients, each with one connection and one request in flight at a time. A closed connection is
+// reopened; a request without a response counts as lost.
 class Load {
  public:
-  // `request` words the n-th request.
+  // `make_request` returns the text of the n-th request. The total is limited to `requests`.
   Load(asio::io_context& io, const tcp::endpoint& address, std::size_t connections, std::size_t requests,
        std::function<std::string(std::size_t)> make_request)
       : io_(io), address_(address), remaining_(requests), make_request_(std::move(make_request)) {
@@ -46,7 +46,7 @@
   double ServedShare() const {
     return Total() == 0 ? 0 : static_cast<double>(served()) / static_cast<double>(Total());
   }
-  // Milliseconds that a part of the served requests took at most; 0 if there are none.
+  // Returns the latency quantile of the served requests in ms; 0 if there are none.
   double Quantile(double fraction) {
     if (times.empty()) return 0;
     std::sort(times.begin(), times.end());
@@ -54,10 +54,10 @@
                           static_cast<std::size_t>(fraction * static_cast<double>(times.size())))];
   }
 
-  std::map<unsigned, std::size_t> answers;    // by status
-  std::map<std::string, std::size_t> causes;  // the gateway's own answers, by cause
-  std::size_t lost = 0;                       // connection closed without an answer
-  std::vector<double> times;                  // of the served, in ms
+  std::map<unsigned, std::size_t> answers;    // responses by status
+  std::map<std::string, std::size_t> causes;  // the gateway's own replies by cause
+  std::size_t lost = 0;                       // connections closed without a response
+  std::vector<double> times;                  // latencies of served requests in ms
 
  private:
   using Clock = std::chrono::steady_clock;
@@ -128,17 +128,17 @@
   std::vector<std::shared_ptr<LoadClient>> clients_;
 };
 
-// How a host fails whole.
+// How a host fails completely.
 enum class HostFailure { kNone, kHang, kRefuseConnections, kRespond500, kEndlessResponse };
 
-// Has the peer answer 200 with its name, or fail.
+// Makes the peer respond 200 with its name, or fail as given.
 inline void ScriptHost(Peer& peer, HostFailure failure, const std::string& name) {
   if (failure == HostFailure::kRefuseConnections) return peer.StopListening();
   peer.serve = [failure, name](const Peer::ReceivedRequest& request) {
     if (failure == HostFailure::kNone) request.Answer(200, name);
     if (failure == HostFailure::kRespond500) request.Answer(500, "no");
     if (failure != HostFailure::kEndlessResponse) return;
-    // 3 GB are promised, and sent for as long as anybody reads.
+    // Announces 3 GB and sends them as long as the gateway reads.
     request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n");
     const auto block = std::make_shared<std::string>(64 * 1024, 'x');
     const auto send = std::make_shared<std::function<void(error_code, std::size_t)>>();
