--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -131,7 +131,7 @@
 }
 
 std::shared_ptr<ServiceGateway::PoolEntry> ServiceGateway::MakePool(const config::Pool& pool_config) {
-  auto entry = std::make_shared<PoolEntry>(from);
+  auto entry = std::make_shared<PoolEntry>(pool_config);
   entry->registry_id = ++pools_created_;
   const auto max_of = [](const config::BudgetShare& share) {
     return share.max > 0 ? share.max : limits::SharedBudget::kUnlimited;
