--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -255,9 +255,9 @@
     World world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
-        if (tries++ == 0) return treatment.treat(taken);
-        taken.Answer(200, "second");
+      world.host(i).serve = [&](const Peer::ReceivedRequest& request) {
+        if (tries++ == 0) return treatment.treat(request);
+        request.Answer(200, "second");
       };
     }
     const auto client = world.Connect();
@@ -275,9 +275,9 @@
     World world(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
-        if (tries++ == 0) return treatment.treat(taken);
-        taken.Answer(200, "second");
+      world.host(i).serve = [&](const Peer::ReceivedRequest& request) {
+        if (tries++ == 0) return treatment.treat(request);
+        request.Answer(200, "second");
       };
     }
     const auto client = world.Connect();
@@ -363,16 +363,16 @@
   settings.erase("report");
   World world(1, settings);
   Peer& host = world.host();
-  host.serve = [&](const Peer::ReceivedRequest& taken) {
-    if (taken.http["Req-Id"].starts_with("lost")) return;
+  host.serve = [&](const Peer::ReceivedRequest& request) {
+    if (request.http["Req-Id"].starts_with("lost")) return;
     const auto work = std::make_shared<asio::steady_timer>(world.io, std::chrono::milliseconds(50));
-    work->async_wait([work, taken](error_code) { taken.Answer(200, ""); });
+    work->async_wait([work, request](error_code) { request.Answer(200, ""); });
   };
   const auto client = world.Connect();
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   const auto ask = [&] {
-    client->Send(ApiRequest("r" + std::to_string(++asked)));
-    EXPECT_EQ(client->Await(asked).result(), http::status::ok);
+    client->Send(ApiRequest("r" + std::to_string(++sent)));
+    EXPECT_EQ(client->Await(sent).result(), http::status::ok);
   };
   for (int i = 0; i < 10; ++i) ask();
   std::vector<std::unique_ptr<Client>> others;
@@ -443,7 +443,7 @@
 TEST(Gateway, DetectsConnectionsClosedWhileIdle) {
   World world;
   Peer& host = world.host();
-  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
+  host.serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   const auto client = world.Connect();
   for (std::size_t i = 1; i <= 6; ++i) {
     client->Send(ApiRequest("r" + std::to_string(i), "pay"));
@@ -643,7 +643,7 @@
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   Peer moved(world.io), host(world.io);
-  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, "new"); };
+  host.serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, "new"); };
   gateway::Config config;
   config.discovery = moved.address();
   // In transit when the address changes; its host must not be used.
@@ -682,8 +682,8 @@
 // response.
 TEST(Gateway, AnswersPipelinedRequestsInOrder) {
   World world;
-  world.host().serve = [](const Peer::ReceivedRequest& taken) {
-    taken.Answer(200, std::string(taken.http["Req-Id"]));
+  world.host().serve = [](const Peer::ReceivedRequest& request) {
+    request.Answer(200, std::string(request.http["Req-Id"]));
   };
   const auto client = world.Connect();
   client->Send(ApiRequest("r1") + ApiRequest("r2") + ApiRequest("r3"));
@@ -697,7 +697,7 @@
 TEST(Gateway, SendsNothingToADrainingHost) {
   World world(2);
   for (auto& host : world.hosts)
-    host->serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
+    host->serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   const auto client = world.Connect();
   std::size_t sent = 0;
   while (world.host(0).requests.empty() && sent < 1000) {
@@ -787,32 +787,32 @@
 TEST(Gateway, ResumesTheWatchAfterFailures) {
   World world;
   Peer& discovery = world.discovery;
-  const auto asked = [&](std::size_t n) {
+  const auto watch_target = [&](std::size_t n) {
     EXPECT_TRUE(world.Until([&] { return discovery.requests.size() >= n; })) << "call " << n;
     return discovery.requests.size() < n ? std::string()
                                          : std::string(discovery.requests[n - 1].http.target());
   };
-  EXPECT_EQ(asked(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
+  EXPECT_EQ(watch_target(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
   discovery.requests[0].Answer(200, List(42, false, {}).dump());
-  EXPECT_NE(asked(2).find("after=42&"), std::string::npos);
+  EXPECT_NE(watch_target(2).find("after=42&"), std::string::npos);
   EXPECT_EQ(discovery.connections.size(), 1u);
   discovery.requests[1].Answer(200, "{\"revision\":43,");
-  EXPECT_NE(asked(3).find("after=42&"), std::string::npos);
+  EXPECT_NE(watch_target(3).find("after=42&"), std::string::npos);
   nlohmann::json wrong = List(43, true, {Member("h9", world.host().address(), "dancing")});
   discovery.requests[2].Answer(200, wrong.dump());
-  EXPECT_NE(asked(4).find("after=42&"), std::string::npos);
+  EXPECT_NE(watch_target(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Answer(503, "");
-  EXPECT_NE(asked(5).find("after=42&"), std::string::npos);
+  EXPECT_NE(watch_target(5).find("after=42&"), std::string::npos);
   discovery.requests[4].connection->Reset();
-  EXPECT_NE(asked(6).find("after=42&"), std::string::npos);
+  EXPECT_NE(watch_target(6).find("after=42&"), std::string::npos);
   discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
-  EXPECT_NE(asked(7).find("after=44&"), std::string::npos);
+  EXPECT_NE(watch_target(7).find("after=44&"), std::string::npos);
 }
 
 // Guards against a flood of connections: idle ones must be closed so that a new client is served.
 TEST(Gateway, EvictsIdleConnectionsUnderAFloodOfNewOnes) {
   World world(1, TestSettings(), 200);  // 90 of them for clients
-  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 150; ++i) {
     flood.push_back(world.Connect());
@@ -845,7 +845,7 @@
 // ones.
 TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheSoftLimit) {
   World world(1, TestSettings(), 100);
-  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
   const auto ask_once = [&] {
     clients.push_back(world.Connect());
@@ -901,7 +901,7 @@
 // usual.
 TEST(Gateway, ServesKeepAliveConnectionsUntilTheDrainBegins) {
   World world;
-  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   const auto client = world.Connect();
   bool done = false;
   world.gateway->Stop([&] { done = true; }, {1, 1000, 20000});
@@ -934,7 +934,7 @@
       {"-5", 0},       {"12ms", 0},        {"nan", 0},    {"inf", 0},
       {"1e9", 0},      {" 500", 0},        {"0x1000", 0}, {"99999999999999999999", 600000}};
   for (const auto& [text, wanted] : cases) EXPECT_DOUBLE_EQ(gateway::ParseCost(text), wanted) << text;
-  const auto taken = [](const std::string& cost) {
+  const auto parsed_cost = [](const std::string& cost) {
     HttpRequest http(http::verb::get, "/api", 11);
     http.set("Req-Id", "r1");
     http.set("Req-Kind", "view");
@@ -947,8 +947,8 @@
     EXPECT_FALSE(fault) << fault->text;
     return call.cost;
   };
-  EXPECT_DOUBLE_EQ(taken("20000"), 20);
-  EXPECT_DOUBLE_EQ(taken("nonsense"), 0);
+  EXPECT_DOUBLE_EQ(parsed_cost("20000"), 20);
+  EXPECT_DOUBLE_EQ(parsed_cost("nonsense"), 0);
 }
 
 // Guards stops with short deadlines: the platform kills a gateway 700 ms after the longest deadline (at most
@@ -970,8 +970,8 @@
       EXPECT_GE(times.stop_listening, 450) << longest;
     }
   }
-  EXPECT_EQ(stop_times({6000.0}).serve, gateway::StopTimes().drain);
-  EXPECT_EQ(stop_times({6000.0}).answer, gateway::StopTimes().fail_pending);
+  EXPECT_EQ(stop_times({6000.0}).drain, gateway::StopTimes().drain);
+  EXPECT_EQ(stop_times({6000.0}).fail_pending, gateway::StopTimes().fail_pending);
 }
 
 // The same over sockets: a keep-alive connection is closed, and the stop ends, in the time that the settings
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -114,14 +114,14 @@
 TEST(Services, ForwardsHostResponsesInAPlainPool) {
   World world;
   Peer& host = world.Host();
-  host.serve = [](const Peer::ReceivedRequest& taken) {
-    const std::string target(taken.http.target());
+  host.serve = [](const Peer::ReceivedRequest& request) {
+    const std::string target(request.http.target());
     const int status = std::stoi(target.substr(target.rfind('/') + 1));
     if (status == 204 || status == 304)
-      return taken.connection->Raw("HTTP/1.1 " + std::to_string(status) + " X\r\n\r\n");
-    if (taken.http.method() == http::verb::head)
-      return taken.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
-    taken.Answer(status, "body", "X-Own", "1");
+      return request.connection->Raw("HTTP/1.1 " + std::to_string(status) + " X\r\n\r\n");
+    if (request.http.method() == http::verb::head)
+      return request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
+    request.Answer(status, "body", "X-Own", "1");
   };
   world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
   std::size_t n = 0;
@@ -149,8 +149,8 @@
 TEST(Services, AnswersHeadWithoutABody) {
   World world;
   Peer& host = world.Host();
-  host.serve = [](const Peer::ReceivedRequest& taken) {
-    taken.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
+  host.serve = [](const Peer::ReceivedRequest& request) {
+    request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
   };
   world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
   tcp::socket socket(world.io);
@@ -417,17 +417,18 @@
               "\" }\n" + "[[pool]]\nid = \"b\"\nmembership = { source = \"discovery\", address = \"" +
               ToText(discovery.address()) + "\" }\n" + RoutesText("a") + RoutesText("b"));
   // The second pool's list says that both hosts are up, and does not change during the test.
-  discovery.serve = [&, revision = 0](const Peer::ReceivedRequest& taken) mutable {
+  discovery.serve = [&, revision = 0](const Peer::ReceivedRequest& request) mutable {
     if (revision++ > 0) return;
-    taken.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
+    request.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
   };
   ASSERT_TRUE(world.Until([&] { return world.gateway->pool("b")->has_hosts(); }));
   const tcp::endpoint at = world.gateway->address("in");
   Load to_a(world.io, at, 4, 1000000, [](std::size_t) { return Get("/a"); });
   Load to_b(world.io, at, 4, 1000000, [](std::size_t) { return Get("/b"); });
   const auto from = [&](char pool) {
-    return std::count_if(shared.requests.begin(), shared.requests.end(),
-                         [&](const Peer::ReceivedRequest& taken) { return taken.http.target()[1] == pool; });
+    return std::count_if(
+        shared.requests.begin(), shared.requests.end(),
+        [&](const Peer::ReceivedRequest& request) { return request.http.target()[1] == pool; });
   };
   ASSERT_TRUE(world.Until([&] { return from('a') > 20 && from('b') > 20; }));
   write("draining");
@@ -538,11 +539,11 @@
   const auto one = world.Host(HostFailure::kNone, "one").address();
   world.Start(std::string(kTop) + PoolText("one", {one}) + RoutesText("one"));
   const auto before = world.gateway->pool("one");
-  tcp::acceptor taken(world.io, Loopback());
+  tcp::acceptor occupied(world.io, Loopback());
   const std::string text =
       std::string(kTop) +
       "[[listener]]\nid = \"free\"\naddress = \"127.0.0.1:0\"\n[[listener]]\nid = \"taken\"\naddress = \"" +
-      ToText(taken.local_endpoint()) + "\"\n" + PoolText("two", {one}) + RoutesText("two");
+      ToText(occupied.local_endpoint()) + "\"\n" + PoolText("two", {one}) + RoutesText("two");
   const auto error = world.gateway->Reload(Parsed(text));
   ASSERT_TRUE(error);
   EXPECT_NE(error->find("listener taken"), std::string::npos) << *error;
