--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -1,4 +1,6 @@
-// One pool of hosts: its module, its connections, and the life of each request that was routed to it.
+// A pool of hosts with a decision module and upstream connections of its own. The pool feeds events
+// (requests, outcomes, timers, membership updates) to the module, executes the actions it returns, and tracks
+// each request until it is answered and all its attempts have ended. Runs on one event loop; not thread-safe.
 #ifndef OPALSWITCH_GATEWAY_POOL_HPP_
 #define OPALSWITCH_GATEWAY_POOL_HPP_
 
@@ -23,92 +25,101 @@
 class Pool : public std::enable_shared_from_this<Pool> {
  public:
   struct Options {
-    std::string name;   // before its lines in the log; empty where there is one pool
-    Settings settings;  // of its module
+    std::string name;   // prefix of log lines; empty if there is only one pool
+    Settings settings;  // of the decision module
     std::uint64_t seed = 0;
     HostPool::Limits upstream;
-    bool plain = false;                   // answers for HTTP's usual clients: see docs/operators/services.md
-    std::function<void()> request_watch;  // the module asks for the list of hosts; may be empty
+    bool plain = false;                   // serve ordinary HTTP clients: see docs/operators/services.md
+    std::function<void()> request_watch;  // requests a discovery watch for the module; may be empty
   };
 
-  // Throws std::invalid_argument if the settings can't work. Held by a shared_ptr.
+  // Throws std::invalid_argument if the settings are invalid. Must be owned by a std::shared_ptr.
   Pool(boost::asio::io_context& io, Options options);
 
-  // Takes a request; its answer follows, perhaps before Submit returns.
-  void Submit(ClientRequest&& call);
-  // The client of an unanswered request has left.
+  // Starts a request. `request.respond` is called once, possibly before Submit returns.
+  void Submit(ClientRequest&& request);
+  // Reports that the client of an unanswered request closed its connection.
   void ClientDisconnected(const std::string& id);
 
-  // What the membership says. Takes effect at once.
+  // Applies a full or partial host list. Takes effect immediately: a host that is no longer up gets no
+  // further requests.
   void UpdateMembership(const HostList& list);
+  // Reports that the source could not deliver a list; the last one stays in use.
   void MembershipUpdateFailed();
-  bool has_hosts() const { return listed_; }  // some host was told of
+  bool has_hosts() const { return has_hosts_; }  // a list with at least one host has been received
 
-  // Fails all that is not answered yet.
+  // Answers all unanswered requests with a failure.
   void FailPending();
-  // Lets go of all requests without an answer: for the end of the process, when nobody is left to take one.
+  // Discards all requests without answering them. For process shutdown, when no client is left to answer.
   void DropPending();
-  // Requests that are not answered, or have attempts out.
-  std::size_t active_requests() const { return flows_.size(); }
-  // `idle` is called, from the loop, each time that no request is open any more, and now if none is.
-  void WhenIdle(std::function<void()> idle);
-  std::size_t connections() const { return hosts_.connections(); }
+  // Requests that are unanswered or still have attempts in flight.
+  std::size_t active_requests() const { return requests_.size(); }
+  // Posts `on_idle` to the event loop each time the last active request ends, and immediately if there is
+  // none.
+  void WhenIdle(std::function<void()> on_idle);
+  // Open upstream connections.
+  std::size_t connections() const { return host_pool_.connections(); }
 
  private:
   struct Attempt {
     std::string host;
-    Millis sent = 0;
-    std::uint64_t number = 0;  // the pool's
-    bool out = true;
+    Millis sent_at = 0;
+    std::uint64_t upstream_id = 0;  // id of the attempt in HostPool, for Cancel
+    bool in_flight = true;
   };
-  // A client's request, until it is answered and all its attempts have ended.
-  struct Flow {
-    explicit Flow(boost::asio::io_context& io) : overdue(io) {}
+  // State of a request until it is answered and all its attempts have ended.
+  struct PendingRequest {
+    explicit PendingRequest(boost::asio::io_context& io) : deadline_timer(io) {}
     std::shared_ptr<const HttpRequest> http;
-    std::function<void(HttpResponse)> answer;
-    std::shared_ptr<void> hold;
-    std::shared_ptr<HttpResponse> error;  // the last that a host answered; for plain pools
+    std::function<void(HttpResponse)> respond;
+    std::shared_ptr<void> admission;
+    std::shared_ptr<HttpResponse> last_error;  // last error response of a host; plain pools only
     std::string class_name;
-    Millis received = 0, aim_at = 0;  // an answer after aim_at is late
-    Millis leaves_at = 0;             // by then the policy's answer must be under way
-    bool answered = false;
+    Millis received_at = 0, aim_deadline = 0;  // a response after aim_deadline is late
+    Millis response_deadline = 0;              // the module must have answered by then
+    bool is_answered = false;
     std::vector<Attempt> attempts;
-    boost::asio::steady_timer overdue;
+    boost::asio::steady_timer deadline_timer;
   };
 
-  void Ended(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
-  void Overdue(const std::string& id);
+  void OnAttemptEnded(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
+  // Fails the request if it is still unanswered shortly before its client gives up.
+  void OnDeadline(const std::string& id);
 
-  // Hands an event to the policy and carries out what it says, one event after the other: what an action
-  // causes at once waits in the queue.
-  void Report(Event event);
-  void Do(const Send& send);
-  void Do(const Refuse& refuse);
-  void Do(const Fail& fail);
-  void Do(const Cancel& cancel);
-  void Do(const SetTimer& timer);
-  void Do(const Watch& watch);
-  void Do(const Log& log);
+  // Passes an event to the decision module and executes the returned actions. Not reentrant: events that an
+  // action raises synchronously are queued and handled after it.
+  void HandleEvent(Event event);
+  void Execute(const Send& send);
+  void Execute(const Refuse& refuse);
+  void Execute(const Fail& fail);
+  void Execute(const Cancel& cancel);
+  void Execute(const SetTimer& timer);
+  void Execute(const Watch& watch);
+  void Execute(const Log& log);
 
-  Flow* Find(const std::string& id);
-  void Answer(Flow& flow, HttpResponse response);
-  // An answer of the gateway's own, with its cause in a word.
-  void Decline(Flow& flow, ledger::RequestOutcome fate, HttpResponse response, std::string_view cause);
-  void Ended(const Flow& flow, ledger::RequestOutcome fate, std::string_view cause);
-  void TellLosses();
-  void Settle(const std::string& id);
+  PendingRequest* FindRequest(const std::string& id);
+  // Sends the response unless the request is already answered, and releases its admission.
+  void Respond(PendingRequest& pending, HttpResponse response);
+  // Sends a refusal or failure of the gateway itself, with `cause` as Forkwick-Cause header, and records the
+  // outcome.
+  void RespondWithCause(PendingRequest& pending, ledger::RequestOutcome outcome, HttpResponse response,
+                        std::string_view cause);
+  void RecordOutcome(const PendingRequest& pending, ledger::RequestOutcome outcome, std::string_view cause);
+  // Writes the log lines "losses ..." and "hosts ..." if they are due.
+  void LogLosses();
+  void EraseIfFinished(const std::string& id);
 
   boost::asio::io_context& io_;
   const Options options_;
   Policy policy_;
-  HostPool hosts_;
-  std::unordered_map<std::string, Flow> flows_;
+  HostPool host_pool_;
+  std::unordered_map<std::string, PendingRequest> requests_;
   std::deque<Event> events_;
-  ledger::LossRecorder losses_;
-  std::unordered_map<std::string, Millis> aims_;  // by class
-  bool reporting_ = false;
-  bool listed_ = false;
-  std::function<void()> idle_;
+  ledger::LossRecorder loss_recorder_;
+  std::unordered_map<std::string, Millis> aim_by_class_;  // by class name
+  bool handling_events_ = false;
+  bool has_hosts_ = false;
+  std::function<void()> on_idle_;
 };
 
 }  // namespace opalswitch::gateway
--- a/src/limits/shared_budget.hpp
+++ b/src/limits/shared_budget.hpp
@@ -1,7 +1,8 @@
-// A budget (descriptors, bytes, places) that several parties share, each with a part that no other can take.
+// A budget (descriptors, client connections, bytes) shared by several participants, each with a guaranteed
+// minimum.
 //
-// A party may use its guaranteed part at any time, and beyond it what neither others use nor is guaranteed to
-// them, up to its own most. No I/O, no clock; one thread.
+// A participant can always use its guarantee. Beyond it, it can use what others neither use nor are
+// guaranteed, up to its own maximum. No I/O, no clock; not thread-safe.
 #ifndef OPALSWITCH_LIMITS_SHARED_BUDGET_HPP_
 #define OPALSWITCH_LIMITS_SHARED_BUDGET_HPP_
 
@@ -19,35 +20,38 @@
 
   explicit SharedBudget(Amount total) : total_(total) {}
 
-  // Guarantees may add up to more than the total for a while (a pool that drains beside the one that replaces
-  // it): what is in use never exceeds the total all the same.
-  ParticipantId AddParticipant(Amount guaranteed, Amount most = kUnlimited);
-  // Its guarantee ends; what it still holds stays counted until it is given back.
-  void RemoveParticipant(ParticipantId party);
-  void SetLimits(ParticipantId party, Amount guaranteed, Amount most = kUnlimited);
+  // Adds a participant. The guarantees may exceed the total for a while (a draining pool beside its
+  // replacement); the amount in use never does.
+  ParticipantId AddParticipant(Amount guaranteed, Amount max = kUnlimited);
+  // Ends the participant's guarantee. What it still uses counts until it is released.
+  void RemoveParticipant(ParticipantId id);
+  // Changes the guarantee and the maximum. What is in use stays, even above the new maximum.
+  void SetLimits(ParticipantId id, Amount guaranteed, Amount max = kUnlimited);
+  // Changes the total. What is in use stays, even above the new total.
   void Resize(Amount total) { total_ = total; }
 
-  // False, and nothing taken, if there is no room for all of it.
-  bool TryAcquire(ParticipantId party, Amount amount = 1);
-  // At most what the party holds.
-  void Release(ParticipantId party, Amount amount = 1);
+  // Acquires `amount` or nothing; returns false if not all of it is available.
+  bool TryAcquire(ParticipantId id, Amount amount = 1);
+  // Releases `amount`, at most what the participant uses.
+  void Release(ParticipantId id, Amount amount = 1);
 
   Amount total() const { return total_; }
   Amount used() const { return used_; }
-  Amount used(ParticipantId party) const;
+  Amount used(ParticipantId id) const;
   std::size_t participants() const { return participants_.size(); }
 
  private:
-  struct Share {
-    Amount guaranteed = 0, most = 0, used = 0;
-    bool left = false;
-    Amount Booked() const { return used > guaranteed ? used : guaranteed; }
+  struct Participant {
+    Amount guaranteed = 0, max = 0, used = 0;
+    bool is_removed = false;
+    // What others can't use: the larger of `used` and `guaranteed`.
+    Amount Reserved() const { return used > guaranteed ? used : guaranteed; }
   };
   Amount total_;
   Amount used_ = 0;
-  Amount booked_ = 0;  // the greater of used and guaranteed, summed
-  ParticipantId next_ = 1;
-  std::map<ParticipantId, Share> participants_;
+  Amount reserved_ = 0;  // sum of Reserved() over all participants
+  ParticipantId next_id_ = 1;
+  std::map<ParticipantId, Participant> participants_;
 };
 
 }  // namespace opalswitch::limits
