--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -57,7 +57,7 @@
 void Gateway::ListFailed() {
   pool_->ListFailed();
   if (settings_.requires_watch) return;  // the policy says when to ask again
-  discovery_.WatchLater();
+  discovery_.WatchAfterDelay();
 }
 
 void Gateway::Stop(std::function<void()> done, StopTimes times) { stop_.Begin(std::move(done), times); }
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -17,14 +17,14 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostList = 8 << 20;
+constexpr std::size_t kMaxListBytes = 8 << 20;
 
 }  // namespace
 
 // One call and all that its handlers use, so that those of a call given up touch nothing of the next.
 struct Discovery::Call {
-  explicit Call(asio::io_context& io) : timer(io) { parser.body_limit(kMostList); }
-  Millis begun = Now(), asked = begun;  // the call, and its request on a connection that is up
+  explicit Call(asio::io_context& io) : timer(io) { parser.body_limit(kMaxListBytes); }
+  Millis started_at = Now(), sent_at = started_at;  // the call, and its request on a connection that is up
   asio::steady_timer timer;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
@@ -35,19 +35,19 @@
                      Handlers handlers, std::uint64_t seed, const WatchTimes& times)
     : io_(io),
       address_(address),
-      pace_(revision, times),
+      schedule_(revision, times),
       random_(seed),
       handlers_(std::move(handlers)),
-      pause_(io) {}
+      next_call_timer_(io) {}
 
 void Discovery::Watch() {
-  if (std::exchange(watching_, true)) return;  // asking again would be one more call on a shared service
-  Ask();
+  if (std::exchange(is_watching_, true)) return;  // asking again would be one more call on a shared service
+  StartCall();
 }
 
-void Discovery::WatchLater() {
-  pause_.expires_after(ToDuration(pace_.RetryGap(Uniform())));
-  pause_.async_wait([this, alive = std::weak_ptr(alive_)](error_code ec) {
+void Discovery::WatchAfterDelay() {
+  next_call_timer_.expires_after(ToDuration(schedule_.RetryDelay(Uniform())));
+  next_call_timer_.async_wait([this, alive = std::weak_ptr(alive_)](error_code ec) {
     if (!ec && !alive.expired()) Watch();
   });
 }
@@ -55,106 +55,112 @@
 void Discovery::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  pace_.Moved();
-  ++moves_;
-  Drop();
-  watching_ = true;
-  Ask();
+  schedule_.Reset();
+  ++address_changes_;
+  Disconnect();
+  is_watching_ = true;
+  StartCall();
 }
 
 // The call has failed unless its next step comes within `time`.
-void Discovery::Allow(const std::shared_ptr<Call>& call, Millis time, WatchFailure fault) {
-  call->timer.expires_after(ToDuration(time));
-  call->timer.async_wait([this, call, fault, alive = std::weak_ptr(alive_)](error_code ec) {
-    if (!ec && !alive.expired()) Fail(call, fault);
+void Discovery::SetTimeout(const std::shared_ptr<Call>& call, Millis timeout, WatchFailure failure) {
+  call->timer.expires_after(ToDuration(timeout));
+  call->timer.async_wait([this, call, failure, alive = std::weak_ptr(alive_)](error_code ec) {
+    if (!ec && !alive.expired()) HandleFailure(call, failure);
   });
 }
 
-void Discovery::Ask() {
+void Discovery::StartCall() {
   const auto call = call_ = std::make_shared<Call>(io_);
-  if (socket_ != nullptr) return Connected(call);
-  Allow(call, pace_.times().dial, WatchFailure::kDial);
+  if (socket_ != nullptr) return SendRequest(call);
+  SetTimeout(call, schedule_.times().connect_timeout, WatchFailure::kConnectFailed);
   socket_ = std::make_shared<tcp::socket>(io_);
   socket_->async_connect(address_,
                          [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec) {
                            if (alive.expired() || call != call_) return;
-                           if (ec) return Fail(call, WatchFailure::kDial, ec.message());
-                           Connected(call);
+                           if (ec) return HandleFailure(call, WatchFailure::kConnectFailed, ec.message());
+                           SendRequest(call);
                          });
 }
 
-void Discovery::Connected(const std::shared_ptr<Call>& call) {
-  call->asked = Now();
+void Discovery::SendRequest(const std::shared_ptr<Call>& call) {
+  call->sent_at = Now();
   call->request.method(http::verb::get);
-  call->request.target(pace_.Begin(Uniform()));
-  Allow(call, pace_.Patience(), WatchFailure::kSilent);
+  call->request.target(schedule_.BeginCall(Uniform()));
+  SetTimeout(call, schedule_.ResponseTimeout(), WatchFailure::kTimeout);
   call->request.set(http::field::host, address_.address().to_string());
   http::async_write(
       *socket_, call->request,
       [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec, std::size_t) {
         if (alive.expired() || call != call_) return;
-        if (ec) return Fail(call, WatchFailure::kEnded, ec.message());
-        Read(call);
+        if (ec) return HandleFailure(call, WatchFailure::kClosed, ec.message());
+        ReadResponse(call);
       });
 }
 
 // A watch may be silent for long, but an answer that has begun comes whole at once or never.
-void Discovery::Read(const std::shared_ptr<Call>& call) {
+void Discovery::ReadResponse(const std::shared_ptr<Call>& call) {
   http::async_read_header(
       *socket_, call->buffer, call->parser,
       [this, call, socket = socket_, alive = std::weak_ptr(alive_)](error_code ec, std::size_t) {
         if (alive.expired() || call != call_) return;
-        const bool begun = call->parser.got_some() || call->buffer.size() > 0;
-        if (ec) return Fail(call, begun ? WatchFailure::kBroken : WatchFailure::kEnded, ec.message());
-        if (call->parser.is_done()) return Answered(call);
-        Allow(call, pace_.times().rest, WatchFailure::kBroken);
+        const bool has_response_bytes = call->parser.got_some() || call->buffer.size() > 0;
+        if (ec)
+          return HandleFailure(call, has_response_bytes ? WatchFailure::kTruncated : WatchFailure::kClosed,
+                               ec.message());
+        if (call->parser.is_done()) return HandleResponse(call);
+        SetTimeout(call, schedule_.times().body_timeout, WatchFailure::kTruncated);
         http::async_read(*socket, call->buffer, call->parser,
                          [this, call, socket, alive](error_code body_ec, std::size_t) {
                            if (alive.expired() || call != call_) return;
-                           body_ec ? Fail(call, WatchFailure::kBroken, body_ec.message()) : Answered(call);
+                           body_ec ? HandleFailure(call, WatchFailure::kTruncated, body_ec.message())
+                                   : HandleResponse(call);
                          });
       });
 }
 
-void Discovery::Answered(const std::shared_ptr<Call>& call) {
-  const auto& answer = call->parser.get();
-  if (answer.result() != http::status::ok) {
-    return Fail(call, WatchFailure::kStatus, std::to_string(answer.result_int()));
+void Discovery::HandleResponse(const std::shared_ptr<Call>& call) {
+  const auto& response = call->parser.get();
+  if (response.result() != http::status::ok) {
+    return HandleFailure(call, WatchFailure::kErrorStatus, std::to_string(response.result_int()));
   }
-  auto list = ParseHostList(answer.body());
-  if (!list) return Fail(call, WatchFailure::kUnreadable);
-  if (!pace_.Takes(*list)) return Fail(call, WatchFailure::kOlder, std::to_string(list->revision));
+  auto list = ParseHostList(response.body());
+  if (!list) return HandleFailure(call, WatchFailure::kMalformed);
+  if (!schedule_.AcceptList(*list))
+    return HandleFailure(call, WatchFailure::kStaleRevision, std::to_string(list->revision));
   call->timer.cancel();
   call_.reset();
-  if (!answer.keep_alive()) socket_.reset();
-  Note(pace_.Succeeded(Now() - call->asked, !list->hosts.empty()));
+  if (!response.keep_alive()) socket_.reset();
+  Log(schedule_.RecordSuccess(Now() - call->sent_at, !list->hosts.empty()));
   const std::weak_ptr alive(alive_);
   handlers_.on_update(std::move(*list));
   if (alive.expired()) return;
   // A discovery that answers at once, as an agent with pushed lists does, must not be asked in a tight loop.
-  pause_.expires_after(
-      ToDuration(std::max(pace_.Pause(Uniform()), pace_.times().least_gap - (Now() - call->begun))));
-  pause_.async_wait([this, moves = moves_, alive = std::weak_ptr(alive_)](error_code ec) {
-    if (!ec && !alive.expired() && moves == moves_) Ask();
-  });
+  next_call_timer_.expires_after(ToDuration(std::max(
+      schedule_.NextCallDelay(Uniform()), schedule_.times().min_call_interval - (Now() - call->started_at))));
+  next_call_timer_.async_wait(
+      [this, address_changes = address_changes_, alive = std::weak_ptr(alive_)](error_code ec) {
+        if (!ec && !alive.expired() && address_changes == address_changes_) StartCall();
+      });
 }
 
-void Discovery::Fail(const std::shared_ptr<Call>& call, WatchFailure fault, const std::string& detail) {
+void Discovery::HandleFailure(const std::shared_ptr<Call>& call, WatchFailure failure,
+                              const std::string& detail) {
   if (call != call_) return;
-  Drop();
-  Note(pace_.Failed(fault, Now() - call->asked, detail));
-  if (pace_.AgainAtOnce(fault)) return Ask();
-  watching_ = false;
+  Disconnect();
+  Log(schedule_.RecordFailure(failure, Now() - call->sent_at, detail));
+  if (schedule_.ShouldRetryImmediately(failure)) return StartCall();
+  is_watching_ = false;
   handlers_.on_failure();
 }
 
-void Discovery::Note(const std::optional<std::string>& line) const {
+void Discovery::Log(const std::optional<std::string>& line) const {
   if (line && handlers_.on_log) handlers_.on_log(*line);
 }
 
 // Ends the call and the connection; whatever of them is still on its way finds that it is not the current
 // one.
-void Discovery::Drop() {
+void Discovery::Disconnect() {
   if (call_) call_->timer.cancel();
   call_.reset();
   if (!socket_) return;
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -31,7 +31,7 @@
   // Begins a watch, from the last revision known; does nothing while one is on.
   void Watch();
   // The same after the pace's gap, for whoever has no better ground to choose when to try again.
-  void WatchLater();
+  void WatchAfterDelay();
   // Discovery is elsewhere from now on: what the old one still says is dropped, and the whole list is asked
   // for.
   void SetAddress(const boost::asio::ip::tcp::endpoint& address);
@@ -39,25 +39,25 @@
  private:
   struct Call;
   double Uniform() { return std::uniform_real_distribution(0.0, 1.0)(random_); }
-  void Ask();
-  void Connected(const std::shared_ptr<Call>& call);
-  void Answered(const std::shared_ptr<Call>& call);
-  void Read(const std::shared_ptr<Call>& call);
-  void Allow(const std::shared_ptr<Call>& call, Millis time, WatchFailure fault);
-  void Fail(const std::shared_ptr<Call>& call, WatchFailure fault, const std::string& detail = "");
-  void Note(const std::optional<std::string>& line) const;
-  void Drop();
+  void StartCall();
+  void SendRequest(const std::shared_ptr<Call>& call);
+  void HandleResponse(const std::shared_ptr<Call>& call);
+  void ReadResponse(const std::shared_ptr<Call>& call);
+  void SetTimeout(const std::shared_ptr<Call>& call, Millis timeout, WatchFailure failure);
+  void HandleFailure(const std::shared_ptr<Call>& call, WatchFailure failure, const std::string& detail = "");
+  void Log(const std::optional<std::string>& line) const;
+  void Disconnect();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  WatchSchedule pace_;
+  WatchSchedule schedule_;
   std::mt19937_64 random_;  // spreads the calls of many gateways
   const Handlers handlers_;
   std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // kept between the calls of a watch
   std::shared_ptr<Call> call_;                            // the one that is on; results of others are dropped
-  std::uint64_t moves_ = 0;
-  boost::asio::steady_timer pause_;
-  bool watching_ = false;
+  std::uint64_t address_changes_ = 0;
+  boost::asio::steady_timer next_call_timer_;
+  bool is_watching_ = false;
   // Handlers that are still on their way when this ends find it gone.
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
--- a/src/membership/host_source.cpp
+++ b/src/membership/host_source.cpp
@@ -10,7 +10,7 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr std::size_t kMostFile = 8 << 20;
+constexpr std::size_t kMaxFileBytes = 8 << 20;
 
 }  // namespace
 
@@ -65,26 +65,26 @@
     : io_(io), path_(std::move(path)), handlers_(std::move(handlers)) {}
 
 void FileSource::Start() {
-  watch_ = std::make_unique<FileWatcher>(io_, path_, [this] { Read(); });
-  Read();
+  watcher_ = std::make_unique<FileWatcher>(io_, path_, [this] { Reload(); });
+  Reload();
 }
 
-void FileSource::Read() {
+void FileSource::Reload() {
   std::string text, error;
   std::optional<HostList> list;
-  if (!ReadFile(path_, kMostFile, text)) {
+  if (!ReadFile(path_, kMaxFileBytes, text)) {
     error = "can't be read, or is larger than 8 MiB";
-  } else if (text == told_) {
+  } else if (text == accepted_text_) {
     return;
   } else {
     list = ReadHostFile(text, error);
   }
   if (!list) {
     handlers_.on_log(path_ + ": " + error +
-                     (told_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
+                     (accepted_text_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
     return handlers_.on_failure();
   }
-  told_ = std::move(text);
+  accepted_text_ = std::move(text);
   handlers_.on_update(*list);
 }
 
@@ -94,7 +94,7 @@
       discovery_(io, address, std::nullopt,
                  {[this](const HostList& list) { handlers_.on_update(list); },
                   [this] {
-                    discovery_.WatchLater();
+                    discovery_.WatchAfterDelay();
                     handlers_.on_failure();
                   },
                   handlers_.on_log},
--- a/src/membership/host_source.hpp
+++ b/src/membership/host_source.hpp
@@ -56,13 +56,13 @@
   void Start() override;
 
  private:
-  void Read();
+  void Reload();
 
   boost::asio::io_context& io_;
   const std::string path_;
   const Handlers handlers_;
-  std::unique_ptr<FileWatcher> watch_;
-  std::string told_;  // the text that holds now
+  std::unique_ptr<FileWatcher> watcher_;
+  std::string accepted_text_;  // the text that holds now
 };
 
 // The platform's discovery, watched; a call that failed is made again.
--- a/src/membership/node_registry.cpp
+++ b/src/membership/node_registry.cpp
@@ -5,7 +5,7 @@
 
 namespace opalswitch::gateway {
 
-bool NodeRegistry::Note(PoolId pool, const Host& host, Millis now) {
+bool NodeRegistry::UpdateDrain(PoolId pool, const Host& host, Millis now) {
   const Server& server = host.server;
   const auto found = drains_.find(server.id);
   if (server.state == ServerState::kDraining) {
@@ -23,32 +23,32 @@
   return true;
 }
 
-ServerState NodeRegistry::StateOf(const Host& host) const {
+ServerState NodeRegistry::EffectiveState(const Host& host) const {
   if (host.server.state != ServerState::kUp) return host.server.state;
   const auto found = drains_.find(host.server.id);
-  const bool drains = found != drains_.end() && host.server.started_at <= found->second.started_at;
-  return drains ? ServerState::kDraining : ServerState::kUp;
+  const bool is_draining = found != drains_.end() && host.server.started_at <= found->second.started_at;
+  return is_draining ? ServerState::kDraining : ServerState::kUp;
 }
 
 std::vector<NodeRegistry::PoolUpdate> NodeRegistry::ApplyUpdate(PoolId pool, const HostList& list,
                                                                 Millis now) {
-  std::map<std::string, Host>& view = views_[pool];
+  std::map<std::string, Host>& hosts = hosts_by_pool_[pool];
   std::set<std::string> changed;
-  std::set<std::string> named;
+  std::set<std::string> listed_ids;
   for (const Host& host : list.hosts) {
-    named.insert(host.server.id);
-    if (Note(pool, host, now)) changed.insert(host.server.id);
+    listed_ids.insert(host.server.id);
+    if (UpdateDrain(pool, host, now)) changed.insert(host.server.id);
     if (host.server.state == ServerState::kGone) {
-      view.erase(host.server.id);
+      hosts.erase(host.server.id);
     } else {
-      view[host.server.id] = host;
+      hosts[host.server.id] = host;
     }
   }
   if (list.complete) {
-    std::erase_if(view, [&](const auto& entry) { return !named.contains(entry.first); });
+    std::erase_if(hosts, [&](const auto& entry) { return !listed_ids.contains(entry.first); });
   }
-  std::vector<PoolUpdate> news;
-  for (const auto& [other, hosts] : views_) {
+  std::vector<PoolUpdate> updates;
+  for (const auto& [other, hosts] : hosts_by_pool_) {
     if (other == pool) continue;
     HostList delta;
     delta.complete = false;
@@ -56,60 +56,60 @@
       const auto found = hosts.find(id);
       if (found == hosts.end()) continue;
       delta.hosts.push_back(found->second);
-      delta.hosts.back().server.state = StateOf(found->second);
+      delta.hosts.back().server.state = EffectiveState(found->second);
     }
-    if (!delta.hosts.empty()) news.push_back({other, std::move(delta)});
+    if (!delta.hosts.empty()) updates.push_back({other, std::move(delta)});
   }
   HostList own = list;
-  for (Host& host : own.hosts) host.server.state = StateOf(host);
-  news.push_back({pool, std::move(own)});
-  DropUnlisted();
-  return news;
+  for (Host& host : own.hosts) host.server.state = EffectiveState(host);
+  updates.push_back({pool, std::move(own)});
+  RemoveUnlistedDrains();
+  return updates;
 }
 
 void NodeRegistry::RemovePool(PoolId pool) {
-  views_.erase(pool);
+  hosts_by_pool_.erase(pool);
   for (auto& [id, drain] : drains_) {
     drain.reported_by.erase(pool);
     // Nobody is left who could tell of the drain's end: the word of any pool will do.
     if (!drain.reported_by.empty()) continue;
     for (const PoolId other : PoolsOf(id)) drain.reported_by.insert(other);
   }
-  DropUnlisted();
+  RemoveUnlistedDrains();
 }
 
 // A drain that nobody could hear of any more is not kept: what peers can make grow is bounded by the lists.
-void NodeRegistry::DropUnlisted() {
+void NodeRegistry::RemoveUnlistedDrains() {
   std::erase_if(drains_, [this](const auto& entry) {
-    return std::none_of(views_.begin(), views_.end(),
-                        [&](const auto& view) { return view.second.contains(entry.first); });
+    return std::none_of(hosts_by_pool_.begin(), hosts_by_pool_.end(),
+                        [&](const auto& pool_entry) { return pool_entry.second.contains(entry.first); });
   });
 }
 
 HostList NodeRegistry::HostsOf(PoolId pool) const {
   HostList list;
-  const auto found = views_.find(pool);
-  if (found == views_.end()) return list;
+  const auto found = hosts_by_pool_.find(pool);
+  if (found == hosts_by_pool_.end()) return list;
   for (const auto& [id, host] : found->second) {
     list.hosts.push_back(host);
-    list.hosts.back().server.state = StateOf(host);
+    list.hosts.back().server.state = EffectiveState(host);
   }
   return list;
 }
 
 std::optional<Host> NodeRegistry::FindHost(PoolId pool, const std::string& id) const {
-  const auto view = views_.find(pool);
-  if (view == views_.end()) return std::nullopt;
-  const auto found = view->second.find(id);
-  if (found == view->second.end()) return std::nullopt;
+  const auto pool_hosts = hosts_by_pool_.find(pool);
+  if (pool_hosts == hosts_by_pool_.end()) return std::nullopt;
+  const auto found = pool_hosts->second.find(id);
+  if (found == pool_hosts->second.end()) return std::nullopt;
   Host host = found->second;
-  host.server.state = StateOf(found->second);
+  host.server.state = EffectiveState(found->second);
   return host;
 }
 
 std::vector<NodeRegistry::PoolId> NodeRegistry::PoolsOf(const std::string& id) const {
   std::vector<PoolId> pools;
-  for (const auto& [pool, hosts] : views_) {
+  for (const auto& [pool, hosts] : hosts_by_pool_) {
     if (hosts.contains(id)) pools.push_back(pool);
   }
   return pools;
--- a/src/membership/node_registry.hpp
+++ b/src/membership/node_registry.hpp
@@ -29,7 +29,7 @@
   };
   struct Drain {
     Millis since = 0;              // when the first source told of it
-    PoolId first = 0;              // and whose that was
+    PoolId first_reported_by = 0;  // and whose that was
     std::set<PoolId> reported_by;  // all that have
     Millis started_at = 0;         // of the process that drains
   };
@@ -49,12 +49,12 @@
   std::vector<PoolId> PoolsOf(const std::string& id) const;
 
  private:
-  ServerState StateOf(const Host& host) const;
+  ServerState EffectiveState(const Host& host) const;
   // Notes what one entry says of a drain; true if that changes the node's state in other pools.
-  bool Note(PoolId pool, const Host& host, Millis now);
-  void DropUnlisted();
+  bool UpdateDrain(PoolId pool, const Host& host, Millis now);
+  void RemoveUnlistedDrains();
 
-  std::map<PoolId, std::map<std::string, Host>> views_;  // as the sources say
+  std::map<PoolId, std::map<std::string, Host>> hosts_by_pool_;  // as the sources say
   std::map<std::string, Drain> drains_;
 };
 
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -6,24 +6,25 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr int kBegunAnew = 3;        // whole lists in turn after which an older count is believed
-constexpr int kAtOnce = 4;           // failed calls in turn up to which a broken answer is asked for at once
-constexpr double kTurnWeight = 0.3;  // of one call in how long a turn takes
-constexpr int kMostDoubled = 16;     // times that anything is doubled: beyond that all bounds are reached
-
-Millis Doubled(Millis first, int times, Millis most) {
-  return std::min(most, std::ldexp(first, std::clamp(times, 0, kMostDoubled)));
+constexpr int kResetConfirmations = 3;  // whole lists in turn after which an older count is believed
+constexpr int kMaxImmediateRetries =
+    4;  // failed calls in turn up to which a broken answer is asked for at once
+constexpr double kQueueDelaySmoothingFactor = 0.3;  // of one call in how long a turn takes
+constexpr int kMaxDoublings = 16;  // times that anything is doubled: beyond that all bounds are reached
+
+Millis ExponentialDelay(Millis initial, int doublings, Millis max) {
+  return std::min(max, std::ldexp(initial, std::clamp(doublings, 0, kMaxDoublings)));
 }
 
-const char* Words(WatchFailure fault) {
-  switch (fault) {
-    case WatchFailure::kDial: return "can't be reached";
-    case WatchFailure::kSilent: return "doesn't answer in time";
-    case WatchFailure::kEnded: return "ends the watch";
-    case WatchFailure::kBroken: return "breaks its answer off";
-    case WatchFailure::kStatus: return "refuses";
-    case WatchFailure::kUnreadable: return "sends a list that can't be read";
-    case WatchFailure::kOlder: return "sends a list older than the one known";
+const char* DescribeFailure(WatchFailure failure) {
+  switch (failure) {
+    case WatchFailure::kConnectFailed: return "can't be reached";
+    case WatchFailure::kTimeout: return "doesn't answer in time";
+    case WatchFailure::kClosed: return "ends the watch";
+    case WatchFailure::kTruncated: return "breaks its answer off";
+    case WatchFailure::kErrorStatus: return "refuses";
+    case WatchFailure::kMalformed: return "sends a list that can't be read";
+    case WatchFailure::kStaleRevision: return "sends a list older than the one known";
   }
   return "";
 }
@@ -33,74 +34,84 @@
 WatchSchedule::WatchSchedule(std::optional<std::int64_t> revision, const WatchTimes& times)
     : times_(times), revision_(revision) {}
 
-std::string WatchSchedule::Begin(double uniform) {
+std::string WatchSchedule::BeginCall(double uniform) {
   // While it sends older lists only a whole one can tell whether it has begun anew.
   wait_ = 0;
-  if (!revision_ || older_ > 0) return "/discovery/hosts";
-  wait_ = std::floor((failures_ > 0 ? times_.recovery_wait : times_.wait) * (0.5 + uniform));
+  if (!revision_ || stale_lists_ > 0) return "/discovery/hosts";
+  wait_ = std::floor((consecutive_failures_ > 0 ? times_.mean_recovery_wait : times_.mean_wait) *
+                     (0.5 + uniform));
   return "/discovery/hosts?after=" + std::to_string(*revision_) +
          "&wait_ms=" + std::to_string(static_cast<int>(wait_));
 }
 
-Millis WatchSchedule::Patience() const {
-  if (wait_ <= 0) return times_.most_silence;
-  return wait_ + std::min(times_.most_silence,
-                          2 * turn_ + Doubled(times_.silence, unanswered_ - 1, times_.most_silence));
+Millis WatchSchedule::ResponseTimeout() const {
+  if (wait_ <= 0) return times_.max_response_timeout;
+  return wait_ +
+         std::min(times_.max_response_timeout,
+                  2 * queue_delay_ + ExponentialDelay(times_.response_timeout, consecutive_timeouts_ - 1,
+                                                      times_.max_response_timeout));
 }
 
-Millis WatchSchedule::Pause(double uniform) const { return std::min(times_.most_pause, 2 * turn_) * uniform; }
+Millis WatchSchedule::NextCallDelay(double uniform) const {
+  return std::min(times_.max_call_delay, 2 * queue_delay_) * uniform;
+}
 
-bool WatchSchedule::AgainAtOnce(WatchFailure fault) const {
-  if (fault == WatchFailure::kSilent) return failures_ == 1;
-  return failures_ <= kAtOnce && (fault == WatchFailure::kBroken || fault == WatchFailure::kUnreadable);
+bool WatchSchedule::ShouldRetryImmediately(WatchFailure failure) const {
+  if (failure == WatchFailure::kTimeout) return consecutive_failures_ == 1;
+  return consecutive_failures_ <= kMaxImmediateRetries &&
+         (failure == WatchFailure::kTruncated || failure == WatchFailure::kMalformed);
 }
 
-Millis WatchSchedule::RetryGap(double uniform) const {
-  return Doubled(times_.first_retry, failures_ - 1, times_.most_retry) * (0.5 + uniform);
+Millis WatchSchedule::RetryDelay(double uniform) const {
+  return ExponentialDelay(times_.initial_retry_delay, consecutive_failures_ - 1, times_.max_retry_delay) *
+         (0.5 + uniform);
 }
 
-bool WatchSchedule::Takes(const HostList& list) {
+bool WatchSchedule::AcceptList(const HostList& list) {
   if (revision_ && list.revision < *revision_) {
     if (!list.complete) return false;
-    older_ = older_ > 0 && list.revision >= older_revision_ ? older_ + 1 : 1;
-    older_revision_ = list.revision;
-    if (older_ < kBegunAnew) return false;
+    stale_lists_ = stale_lists_ > 0 && list.revision >= stale_revision_ ? stale_lists_ + 1 : 1;
+    stale_revision_ = list.revision;
+    if (stale_lists_ < kResetConfirmations) return false;
   }
-  older_ = 0;
+  stale_lists_ = 0;
   revision_ = list.revision;
   return true;
 }
 
-void WatchSchedule::LearnTurn(Millis took) { turn_ += kTurnWeight * (std::max(0.0, took) - turn_); }
+void WatchSchedule::UpdateQueueDelay(Millis elapsed) {
+  queue_delay_ += kQueueDelaySmoothingFactor * (std::max(0.0, elapsed) - queue_delay_);
+}
 
-std::optional<std::string> WatchSchedule::Failed(WatchFailure fault, Millis took, const std::string& detail) {
-  unanswered_ = fault == WatchFailure::kSilent ? unanswered_ + 1 : 0;
-  if (fault == WatchFailure::kStatus)
-    LearnTurn(std::max(turn_, took));  // quick: it is down, no matter of turns
-  if (failures_++ > 0) return std::nullopt;
-  std::string line = std::string("discovery ") + Words(fault);
+std::optional<std::string> WatchSchedule::RecordFailure(WatchFailure failure, Millis elapsed,
+                                                        const std::string& detail) {
+  consecutive_timeouts_ = failure == WatchFailure::kTimeout ? consecutive_timeouts_ + 1 : 0;
+  if (failure == WatchFailure::kErrorStatus)
+    UpdateQueueDelay(std::max(queue_delay_, elapsed));  // quick: it is down, no matter of turns
+  if (consecutive_failures_++ > 0) return std::nullopt;
+  std::string line = std::string("discovery ") + DescribeFailure(failure);
   if (!detail.empty()) line += " (" + detail + ")";
   return line + (revision_ ? "; the last good list, revision " + std::to_string(*revision_) + ", stays"
                            : "; no list of its is known yet");
 }
 
-std::optional<std::string> WatchSchedule::Succeeded(Millis took, bool news) {
+std::optional<std::string> WatchSchedule::RecordSuccess(Millis elapsed, bool has_hosts) {
   // Without news the answer came when the wait was over. With news, that were there already or came in the
   // meantime, the turn took that long at the most.
-  if (!news && wait_ > 0) LearnTurn(took - wait_);
-  if (news) LearnTurn(failures_ > 0 ? took : std::min(took, turn_));
-  const int failed = failures_;
-  failures_ = unanswered_ = 0;
+  if (!has_hosts && wait_ > 0) UpdateQueueDelay(elapsed - wait_);
+  if (has_hosts) UpdateQueueDelay(consecutive_failures_ > 0 ? elapsed : std::min(elapsed, queue_delay_));
+  const int failed = consecutive_failures_;
+  consecutive_failures_ = consecutive_timeouts_ = 0;
   if (failed == 0) return std::nullopt;
   return "discovery answers again after " + std::to_string(failed) +
          (failed == 1 ? " failed call" : " failed calls") + "; revision " +
          (revision_ ? std::to_string(*revision_) : "unknown");
 }
 
-void WatchSchedule::Moved() {
+void WatchSchedule::Reset() {
   revision_.reset();
-  failures_ = unanswered_ = older_ = 0;
-  turn_ = 0;
+  consecutive_failures_ = consecutive_timeouts_ = stale_lists_ = 0;
+  queue_delay_ = 0;
 }
 
 }  // namespace opalswitch::gateway
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -26,12 +26,13 @@
 // is given up long enough before that for another call, which may wait as long as its turn takes.
 TEST(WatchSchedule, ASilentWatchLeavesTimeForAnotherCallBeforeADrainIsDue) {
   for (const double uniform : {0.0, 0.5, 0.999}) {
-    WatchSchedule pace(41);
-    pace.Begin(uniform);
-    const Millis wait = pace.Patience() - pace.times().silence;
-    EXPECT_NEAR(wait, pace.times().wait * (0.5 + uniform), 1);
-    pace.Failed(WatchFailure::kSilent, pace.Patience(), "");
-    EXPECT_LE(pace.times().silence + pace.RetryGap(1), 1000);  // of the 2,500 that there are
+    WatchSchedule schedule(41);
+    schedule.BeginCall(uniform);
+    const Millis wait = schedule.ResponseTimeout() - schedule.times().response_timeout;
+    EXPECT_NEAR(wait, schedule.times().mean_wait * (0.5 + uniform), 1);
+    schedule.RecordFailure(WatchFailure::kTimeout, schedule.ResponseTimeout(), "");
+    EXPECT_LE(schedule.times().response_timeout + schedule.RetryDelay(1),
+              1000);  // of the 2,500 that there are
   }
 }
 
@@ -41,144 +42,148 @@
   std::map<int, int> in_second;
   Millis most = 0;
   for (int i = 0; i < 100; ++i) {
-    WatchSchedule pace(0);
-    pace.Begin(std::uniform_real_distribution(0.0, 1.0)(random));
-    ++in_second[static_cast<int>(pace.Patience() / 1000)];
-    most = std::max(most, pace.Patience());
+    WatchSchedule schedule(0);
+    schedule.BeginCall(std::uniform_real_distribution(0.0, 1.0)(random));
+    ++in_second[static_cast<int>(schedule.ResponseTimeout() / 1000)];
+    most = std::max(most, schedule.ResponseTimeout());
   }
   for (const auto& [second, calls] : in_second) EXPECT_LE(calls, 30) << second;
   EXPECT_LE(most, 1.5 * 5000 + 600);
 }
 
 TEST(WatchSchedule, AnOverbookedDiscoveryIsGivenMoreTimeByEachUnansweredCall) {
-  WatchSchedule pace(41);
+  WatchSchedule schedule(41);
   Millis last = 0;
   for (int i = 0; i < 40; ++i) {
-    pace.Failed(WatchFailure::kSilent, 5000, "");
-    pace.Begin(0.5);
-    EXPECT_GE(pace.Patience(), last);
-    last = pace.Patience();
+    schedule.RecordFailure(WatchFailure::kTimeout, 5000, "");
+    schedule.BeginCall(0.5);
+    EXPECT_GE(schedule.ResponseTimeout(), last);
+    last = schedule.ResponseTimeout();
   }
-  EXPECT_EQ(last, pace.times().recovery_wait + pace.times().most_silence);
-  pace.Failed(WatchFailure::kStatus, 30, "503");  // it answers
-  pace.Begin(0.5);
-  EXPECT_NEAR(pace.Patience(), pace.times().recovery_wait + pace.times().silence, 100);
+  EXPECT_EQ(last, schedule.times().mean_recovery_wait + schedule.times().max_response_timeout);
+  schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503");  // it answers
+  schedule.BeginCall(0.5);
+  EXPECT_NEAR(schedule.ResponseTimeout(),
+              schedule.times().mean_recovery_wait + schedule.times().response_timeout, 100);
 }
 
 // News wake all watches at once; what they ask next stands in a line, and the line's length is told by what
 // waited in it.
 TEST(WatchSchedule, CallsAfterNewsAreSpreadAsFarAsTurnsTookLong) {
-  WatchSchedule pace(41);
-  pace.Begin(0.5);
-  pace.Succeeded(5002, false);
-  EXPECT_LT(pace.Pause(1), 10);  // nobody stands in line
+  WatchSchedule schedule(41);
+  schedule.BeginCall(0.5);
+  schedule.RecordSuccess(5002, false);
+  EXPECT_LT(schedule.NextCallDelay(1), 10);  // nobody stands in line
   for (int i = 0; i < 20; ++i) {
-    pace.Begin(0.5);
-    pace.Failed(WatchFailure::kStatus, 2000, "503");  // stood there for 2 s in vain
+    schedule.BeginCall(0.5);
+    schedule.RecordFailure(WatchFailure::kErrorStatus, 2000, "503");  // stood there for 2 s in vain
   }
-  EXPECT_EQ(pace.Pause(1), pace.times().most_pause);
-  EXPECT_EQ(pace.Pause(0.25), pace.times().most_pause / 4);
-  pace.Begin(0.5);
-  EXPECT_GT(pace.Patience(),
-            pace.times().recovery_wait + 2000);  // nor is a call given up while it stands there
+  EXPECT_EQ(schedule.NextCallDelay(1), schedule.times().max_call_delay);
+  EXPECT_EQ(schedule.NextCallDelay(0.25), schedule.times().max_call_delay / 4);
+  schedule.BeginCall(0.5);
+  EXPECT_GT(schedule.ResponseTimeout(),
+            schedule.times().mean_recovery_wait + 2000);  // nor is a call given up while it stands there
   for (int i = 0; i < 40; ++i) {
-    pace.Begin(0.5);
-    pace.Succeeded(i == 0 ? 100 : 5001, i == 0);
+    schedule.BeginCall(0.5);
+    schedule.RecordSuccess(i == 0 ? 100 : 5001, i == 0);
   }
-  EXPECT_LT(pace.Pause(1), 10);
+  EXPECT_LT(schedule.NextCallDelay(1), 10);
 }
 
 // A drain that was sent and could not be read, or that a silent watch missed, counts as told: it can't wait
 // for a gap. Seen on a bad day: a watch fell silent, the next answer broke off, and the one after it came 4 s
 // later.
 TEST(WatchSchedule, WhatCountsAsToldIsAskedForAgainAtOnceButNotForEver) {
-  WatchSchedule pace(41);
-  pace.Failed(WatchFailure::kSilent, 5600, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kSilent));
-  pace.Failed(WatchFailure::kBroken, 200, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kBroken));
-  pace.Failed(WatchFailure::kSilent, 2600, "");
-  EXPECT_FALSE(pace.AgainAtOnce(WatchFailure::kSilent));
-  for (int i = 0; i < 5; ++i) pace.Failed(WatchFailure::kUnreadable, 200, "");
-  EXPECT_FALSE(pace.AgainAtOnce(WatchFailure::kUnreadable));
-  pace.Succeeded(100, true);
-  pace.Failed(WatchFailure::kUnreadable, 200, "");
-  EXPECT_TRUE(pace.AgainAtOnce(WatchFailure::kUnreadable));
+  WatchSchedule schedule(41);
+  schedule.RecordFailure(WatchFailure::kTimeout, 5600, "");
+  EXPECT_TRUE(schedule.ShouldRetryImmediately(WatchFailure::kTimeout));
+  schedule.RecordFailure(WatchFailure::kTruncated, 200, "");
+  EXPECT_TRUE(schedule.ShouldRetryImmediately(WatchFailure::kTruncated));
+  schedule.RecordFailure(WatchFailure::kTimeout, 2600, "");
+  EXPECT_FALSE(schedule.ShouldRetryImmediately(WatchFailure::kTimeout));
+  for (int i = 0; i < 5; ++i) schedule.RecordFailure(WatchFailure::kMalformed, 200, "");
+  EXPECT_FALSE(schedule.ShouldRetryImmediately(WatchFailure::kMalformed));
+  schedule.RecordSuccess(100, true);
+  schedule.RecordFailure(WatchFailure::kMalformed, 200, "");
+  EXPECT_TRUE(schedule.ShouldRetryImmediately(WatchFailure::kMalformed));
 }
 
 // All watches end together, or a line is full: who is next the policy says, or all would call at once.
 TEST(WatchSchedule, WhatAllMeetTogetherIsNotAskedForAgainAtOnce) {
-  for (const WatchFailure fault :
-       {WatchFailure::kDial, WatchFailure::kEnded, WatchFailure::kStatus, WatchFailure::kOlder}) {
-    WatchSchedule pace(41);
-    pace.Failed(fault, 100, "");
-    EXPECT_FALSE(pace.AgainAtOnce(fault));
+  for (const WatchFailure fault : {WatchFailure::kConnectFailed, WatchFailure::kClosed,
+                                   WatchFailure::kErrorStatus, WatchFailure::kStaleRevision}) {
+    WatchSchedule schedule(41);
+    schedule.RecordFailure(fault, 100, "");
+    EXPECT_FALSE(schedule.ShouldRetryImmediately(fault));
   }
 }
 
 TEST(WatchSchedule, GapsGrowToABoundAndAreSpread) {
-  WatchSchedule pace(41);
-  pace.Failed(WatchFailure::kDial, 1, "");
-  EXPECT_EQ(pace.RetryGap(0.5), pace.times().first_retry);
-  for (int i = 0; i < 100; ++i) pace.Failed(WatchFailure::kDial, 1, "");
-  EXPECT_EQ(pace.RetryGap(0), 0.5 * pace.times().most_retry);
-  EXPECT_EQ(pace.RetryGap(1), 1.5 * pace.times().most_retry);
+  WatchSchedule schedule(41);
+  schedule.RecordFailure(WatchFailure::kConnectFailed, 1, "");
+  EXPECT_EQ(schedule.RetryDelay(0.5), schedule.times().initial_retry_delay);
+  for (int i = 0; i < 100; ++i) schedule.RecordFailure(WatchFailure::kConnectFailed, 1, "");
+  EXPECT_EQ(schedule.RetryDelay(0), 0.5 * schedule.times().max_retry_delay);
+  EXPECT_EQ(schedule.RetryDelay(1), 1.5 * schedule.times().max_retry_delay);
 }
 
 // A lagging copy's list would bring back hosts that drain.
 TEST(WatchSchedule, AnOlderListIsNoNews) {
-  WatchSchedule pace(41);
-  EXPECT_FALSE(pace.Takes(Whole(40)));
-  EXPECT_FALSE(pace.Takes(Changes(40)));
-  EXPECT_EQ(pace.revision(), 41);
-  EXPECT_EQ(pace.Begin(0.5), "/discovery/hosts");  // whether it has begun anew only a whole list can tell
-  EXPECT_TRUE(pace.Takes(Whole(41)));
-  EXPECT_TRUE(pace.Takes(Changes(43)));
-  EXPECT_EQ(pace.revision(), 43);
+  WatchSchedule schedule(41);
+  EXPECT_FALSE(schedule.AcceptList(Whole(40)));
+  EXPECT_FALSE(schedule.AcceptList(Changes(40)));
+  EXPECT_EQ(schedule.revision(), 41);
+  EXPECT_EQ(schedule.BeginCall(0.5),
+            "/discovery/hosts");  // whether it has begun anew only a whole list can tell
+  EXPECT_TRUE(schedule.AcceptList(Whole(41)));
+  EXPECT_TRUE(schedule.AcceptList(Changes(43)));
+  EXPECT_EQ(schedule.revision(), 43);
 }
 
 TEST(WatchSchedule, ADiscoveryThatCountsAnewIsBelievedAfterSeveralWholeLists) {
-  WatchSchedule pace(41);
-  EXPECT_FALSE(pace.Takes(Whole(3)));
-  EXPECT_FALSE(pace.Takes(Changes(4)));  // of what?
-  EXPECT_FALSE(pace.Takes(Whole(2)));    // not even later than the one before it
-  EXPECT_FALSE(pace.Takes(Whole(2)));
-  EXPECT_TRUE(pace.Takes(Whole(4)));
-  EXPECT_EQ(pace.revision(), 4);
+  WatchSchedule schedule(41);
+  EXPECT_FALSE(schedule.AcceptList(Whole(3)));
+  EXPECT_FALSE(schedule.AcceptList(Changes(4)));  // of what?
+  EXPECT_FALSE(schedule.AcceptList(Whole(2)));    // not even later than the one before it
+  EXPECT_FALSE(schedule.AcceptList(Whole(2)));
+  EXPECT_TRUE(schedule.AcceptList(Whole(4)));
+  EXPECT_EQ(schedule.revision(), 4);
 }
 
 TEST(WatchSchedule, OneLineForManyFailedCallsAndOneWhenItAnswers) {
-  WatchSchedule pace(41);
-  EXPECT_EQ(pace.Failed(WatchFailure::kStatus, 30, "503"),
+  WatchSchedule schedule(41);
+  EXPECT_EQ(schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503"),
             "discovery refuses (503); the last good list, revision 41, stays");
-  for (int i = 0; i < 50; ++i) EXPECT_FALSE(pace.Failed(WatchFailure::kSilent, 5000, ""));
-  EXPECT_EQ(pace.Succeeded(5000, false), "discovery answers again after 51 failed calls; revision 41");
-  EXPECT_FALSE(pace.Succeeded(5000, false));
+  for (int i = 0; i < 50; ++i) EXPECT_FALSE(schedule.RecordFailure(WatchFailure::kTimeout, 5000, ""));
+  EXPECT_EQ(schedule.RecordSuccess(5000, false),
+            "discovery answers again after 51 failed calls; revision 41");
+  EXPECT_FALSE(schedule.RecordSuccess(5000, false));
 }
 
 // Whatever comes, in any order: bounds hold, and the revision falls only by whole lists that agree.
 TEST(WatchSchedule, HoldsItsBoundsThroughRandomAnswers) {
   std::mt19937 random(11);
-  WatchSchedule pace;
+  WatchSchedule schedule;
   for (int i = 0; i < 20000; ++i) {
     if (random() % 2 == 0) {
-      pace.Failed(static_cast<WatchFailure>(random() % 7), random() % 9000, "");
+      schedule.RecordFailure(static_cast<WatchFailure>(random() % 7), random() % 9000, "");
     } else {
-      const auto before = pace.revision();
+      const auto before = schedule.revision();
       const HostList list{static_cast<std::int64_t>(random() % 9) - 2, random() % 2 == 0, {}};
-      const bool taken = pace.Takes(list);
-      ASSERT_EQ(pace.revision(), taken ? list.revision : before);
+      const bool taken = schedule.AcceptList(list);
+      ASSERT_EQ(schedule.revision(), taken ? list.revision : before);
       if (taken && before && list.revision < *before) {
         ASSERT_TRUE(list.complete);
       }
-      if (taken) pace.Succeeded(random() % 9000, random() % 2 == 0);
+      if (taken) schedule.RecordSuccess(random() % 9000, random() % 2 == 0);
     }
-    pace.Begin((random() % 100) / 100.0);
-    ASSERT_GT(pace.Patience(), 0);
-    ASSERT_LE(pace.Patience(), 1.5 * pace.times().wait + pace.times().most_silence);
-    ASSERT_LE(pace.Pause(1), pace.times().most_pause);
-    ASSERT_GT(pace.RetryGap(0), 0);
-    ASSERT_LE(pace.RetryGap(1), 1.5 * pace.times().most_retry);
+    schedule.BeginCall((random() % 100) / 100.0);
+    ASSERT_GT(schedule.ResponseTimeout(), 0);
+    ASSERT_LE(schedule.ResponseTimeout(),
+              1.5 * schedule.times().mean_wait + schedule.times().max_response_timeout);
+    ASSERT_LE(schedule.NextCallDelay(1), schedule.times().max_call_delay);
+    ASSERT_GT(schedule.RetryDelay(0), 0);
+    ASSERT_LE(schedule.RetryDelay(1), 1.5 * schedule.times().max_retry_delay);
   }
 }
 
@@ -201,7 +206,8 @@
   // For silence alone, and that of the first call alone: what follows a failure is waited for.
   static WatchTimes Short() {
     WatchTimes times;
-    times.wait = 200, times.silence = 300, times.recovery_wait = times.rest = 600000, times.least_gap = 0;
+    times.mean_wait = 200, times.response_timeout = 300,
+    times.mean_recovery_wait = times.body_timeout = 600000, times.min_call_interval = 0;
     return times;
   }
   // The n-th call, from 0; a broken connection can be told only by the call that follows.
@@ -239,7 +245,8 @@
 // Long times where the fault must show by itself: a test that waited for them would fail.
 WatchTimes Patient() {
   WatchTimes times;
-  times.wait = times.recovery_wait = times.silence = times.most_silence = times.rest = 600000;
+  times.mean_wait = times.mean_recovery_wait = times.response_timeout = times.max_response_timeout =
+      times.body_timeout = 600000;
   return times;
 }
 
@@ -274,7 +281,7 @@
 // The head has come: what is left is not waited for as long as news are.
 TEST(Discovery, SurvivesABodyThatStopsShort) {
   WatchTimes times = Patient();
-  times.rest = 1000;
+  times.body_timeout = 1000;
   Watched watched(times);
   watched.Survives(
       [](Peer::Taken& call) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ(Said(news, 2, "n"), ServerState::kDraining);
   EXPECT_EQ(news.size(), 2u);  // the third does not list it
   EXPECT_EQ(nodes.drains().at("n").since, 100);
-  EXPECT_EQ(nodes.drains().at("n").first, 1u);
+  EXPECT_EQ(nodes.drains().at("n").first_reported_by, 1u);
 }
 
 TEST(NodeRegistry, ALateListDoesNotBringADrainingNodeBack) {
