--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -17,14 +17,15 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMaxListBytes = 8 << 20;
+constexpr std::size_t kMaxListBytes = 8 << 20;  // of the body of a response
 
 }  // namespace
 
-// One call and all that its handlers use, so that those of a call given up touch nothing of the next.
+// One call, with everything that its handlers use: handlers of an abandoned call cannot touch the next one.
 struct Discovery::Call {
   explicit Call(asio::io_context& io) : timer(io) { parser.body_limit(kMaxListBytes); }
-  Millis started_at = Now(), sent_at = started_at;  // the call, and its request on a connection that is up
+  Millis started_at = Now();
+  Millis sent_at = started_at;  // of the request, once the connection is up
   asio::steady_timer timer;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
@@ -41,7 +42,7 @@
       next_call_timer_(io) {}
 
 void Discovery::Watch() {
-  if (std::exchange(is_watching_, true)) return;  // asking again would be one more call on a shared service
+  if (std::exchange(is_watching_, true)) return;  // discovery is shared: no second call
   StartCall();
 }
 
@@ -62,7 +63,7 @@
   StartCall();
 }
 
-// The call has failed unless its next step comes within `time`.
+// Fails the call with `failure` after `timeout`, unless the timer is set anew or cancelled before.
 void Discovery::SetTimeout(const std::shared_ptr<Call>& call, Millis timeout, WatchFailure failure) {
   call->timer.expires_after(ToDuration(timeout));
   call->timer.async_wait([this, call, failure, alive = std::weak_ptr(alive_)](error_code ec) {
@@ -98,7 +99,7 @@
       });
 }
 
-// A watch may be silent for long, but an answer that has begun comes whole at once or never.
+// A watch may wait for its response header for a long time; the body must follow within a short one.
 void Discovery::ReadResponse(const std::shared_ptr<Call>& call) {
   http::async_read_header(
       *socket_, call->buffer, call->parser,
@@ -113,8 +114,10 @@
         http::async_read(*socket, call->buffer, call->parser,
                          [this, call, socket, alive](error_code body_ec, std::size_t) {
                            if (alive.expired() || call != call_) return;
-                           body_ec ? HandleFailure(call, WatchFailure::kTruncated, body_ec.message())
-                                   : HandleResponse(call);
+                           if (body_ec) {
+                             return HandleFailure(call, WatchFailure::kTruncated, body_ec.message());
+                           }
+                           HandleResponse(call);
                          });
       });
 }
@@ -135,7 +138,8 @@
   const std::weak_ptr alive(alive_);
   handlers_.on_update(std::move(*list));
   if (alive.expired()) return;
-  // A discovery that answers at once, as an agent with pushed lists does, must not be asked in a tight loop.
+  // The minimum interval prevents a tight loop on a discovery service that responds at once, such as a local
+  // agent that has its lists pushed to it.
   next_call_timer_.expires_after(ToDuration(std::max(
       schedule_.NextCallDelay(Uniform()), schedule_.times().min_call_interval - (Now() - call->started_at))));
   next_call_timer_.async_wait(
@@ -158,7 +162,7 @@
   if (line && handlers_.on_log) handlers_.on_log(*line);
 }
 
-// Ends the call and the connection; whatever of them is still on its way finds that it is not the current
+// Abandons the call and closes the connection. Handlers still pending see that their call is not the current
 // one.
 void Discovery::Disconnect() {
   if (call_) call_->timer.cancel();
--- a/src/membership/discovery.hpp
+++ b/src/membership/discovery.hpp
@@ -1,4 +1,4 @@
-// The watch on discovery that keeps the list of hosts up to date.
+// The HTTP client of the discovery service.
 #ifndef OPALSWITCH_MEMBERSHIP_DISCOVERY_HPP_
 #define OPALSWITCH_MEMBERSHIP_DISCOVERY_HPP_
 
@@ -17,23 +17,29 @@
 
 namespace opalswitch::gateway {
 
+// Keeps a host list up to date by successive long polls of GET /discovery/hosts over one connection at a
+// time. WatchSchedule decides when to call and which lists to accept. All functions and handlers run on
+// `io`'s thread.
 class Discovery {
  public:
   struct Handlers {
     std::function<void(HostList)> on_update;
-    std::function<void()> on_failure;                     // the watch has ended; Watch() begins a new one
-    std::function<void(const std::string&)> on_log = {};  // one line for the operators' log; may be empty
+    // The watch has ended; call Watch() or WatchAfterDelay() to start a new one.
+    std::function<void()> on_failure;
+    std::function<void(const std::string&)> on_log = {};  // one line for the log; may be null
   };
+  // `revision` is that of a list already known from this service, if any. `seed` is for the random delays
+  // that spread the calls of many gateways.
   Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
             std::optional<std::int64_t> revision, Handlers handlers, std::uint64_t seed,
             const WatchTimes& times = {});
 
-  // Begins a watch, from the last revision known; does nothing while one is on.
+  // Starts a watch from the last known revision; does nothing while a watch is running.
   void Watch();
-  // The same after the pace's gap, for whoever has no better ground to choose when to try again.
+  // Calls Watch() after the schedule's retry delay, for callers without a retry policy of their own.
   void WatchAfterDelay();
-  // Discovery is elsewhere from now on: what the old one still says is dropped, and the whole list is asked
-  // for.
+  // Switches to another discovery service: abandons the current call and requests the complete list. Does
+  // nothing if the address is the same.
   void SetAddress(const boost::asio::ip::tcp::endpoint& address);
 
  private:
@@ -51,14 +57,14 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
   WatchSchedule schedule_;
-  std::mt19937_64 random_;  // spreads the calls of many gateways
+  std::mt19937_64 random_;
   const Handlers handlers_;
-  std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // kept between the calls of a watch
-  std::shared_ptr<Call> call_;                            // the one that is on; results of others are dropped
+  std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // reused by the calls of a watch
+  std::shared_ptr<Call> call_;                            // the current call; results of others are dropped
   std::uint64_t address_changes_ = 0;
   boost::asio::steady_timer next_call_timer_;
   bool is_watching_ = false;
-  // Handlers that are still on their way when this ends find it gone.
+  // Expires with this object: pending handlers hold weak pointers to it.
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/membership/host_list.cpp
+++ b/src/membership/host_list.cpp
@@ -11,19 +11,20 @@
 
 using nlohmann::json;
 
-ServerState ToState(const std::string& phase) {
+ServerState ParseState(const std::string& phase) {
   if (phase == "up") return ServerState::kUp;
   if (phase == "draining") return ServerState::kDraining;
   if (phase == "removed") return ServerState::kGone;
   throw std::invalid_argument("phase");
 }
 
-Host ToHost(const json& entry) {
+// Throws json::exception or std::invalid_argument; the latter names the field.
+Host ParseEntry(const json& entry) {
   Host host;
   Server& server = host.server;
   server.id = entry.at("id").get<std::string>();
   if (server.id.empty()) throw std::invalid_argument("id");
-  server.state = ToState(entry.at("phase").get<std::string>());
+  server.state = ParseState(entry.at("phase").get<std::string>());
   server.zone = entry.value("locality", "");
   server.kind = entry.value("flavor", "");
   if (entry.contains("cell")) server.cell = entry["cell"].dump();
@@ -39,11 +40,11 @@
 
 std::optional<Host> ParseHost(const json& entry, std::string& error) {
   try {
-    return ToHost(entry);
-  } catch (const json::exception& broken) {
-    error = broken.what();
-  } catch (const std::invalid_argument& broken) {
-    error = broken.what() + std::string(": missing or malformed");
+    return ParseEntry(entry);
+  } catch (const json::exception& exception) {
+    error = exception.what();
+  } catch (const std::invalid_argument& exception) {
+    error = exception.what() + std::string(": missing or malformed");
   }
   return std::nullopt;
 }
@@ -54,7 +55,7 @@
     HostList list;
     list.revision = parsed.at("revision").get<std::int64_t>();
     list.complete = parsed.at("complete").get<bool>();
-    for (const json& entry : parsed.at("members")) list.hosts.push_back(ToHost(entry));
+    for (const json& entry : parsed.at("members")) list.hosts.push_back(ParseEntry(entry));
     return list;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/src/membership/host_list.hpp
+++ b/src/membership/host_list.hpp
@@ -1,4 +1,4 @@
-// The list of hosts, and the form in which discovery writes it.
+// Lists of hosts, and the JSON form in which discovery and host files give them.
 #ifndef OPALSWITCH_MEMBERSHIP_HOST_LIST_HPP_
 #define OPALSWITCH_MEMBERSHIP_HOST_LIST_HPP_
 
@@ -14,6 +14,7 @@
 
 namespace opalswitch::gateway {
 
+// A server with the address to connect to. The address is unset for removed hosts listed without one.
 struct Host {
   Server server;
   boost::asio::ip::tcp::endpoint address;
@@ -21,14 +22,15 @@
 
 struct HostList {
   std::int64_t revision = 0;
-  bool complete = true;  // else only what changed
+  bool complete = true;  // false: only the hosts that changed
   std::vector<Host> hosts;
 };
 
-// One entry of a list. Nothing if it is broken in any part; `error` names the field.
+// Parses one entry of "members". Returns nothing if any field is malformed; `error` then names the field.
 std::optional<Host> ParseHost(const nlohmann::json& entry, std::string& error);
 
-// Nothing if the text is broken in any part: half a list must not pass for a whole one.
+// Parses a response of discovery. Returns nothing if any part is malformed, since a partly read list would
+// pass for a complete one.
 std::optional<HostList> ParseHostList(std::string_view text);
 
 }  // namespace opalswitch::gateway
--- a/src/membership/host_source.cpp
+++ b/src/membership/host_source.cpp
@@ -37,24 +37,26 @@
 }
 
 std::optional<HostList> ReadHostFile(const std::string& text, std::string& error) {
-  if (text.find_first_not_of(" \t\r\n") == std::string::npos) return error = "is empty", std::nullopt;
+  const auto fail = [&error](std::string reason) {
+    error = std::move(reason);
+    return std::nullopt;
+  };
+  if (text.find_first_not_of(" \t\r\n") == std::string::npos) return fail("is empty");
   nlohmann::json parsed = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!parsed.is_object()) return error = "is no whole JSON object", std::nullopt;
+  if (!parsed.is_object()) return fail("is not a complete JSON object");
   const auto members = parsed.find("members");
-  if (members == parsed.end() || !members->is_array())
-    return error = "members: missing, or not a list", std::nullopt;
+  if (members == parsed.end() || !members->is_array()) return fail("members: missing, or not a list");
   const auto empty = parsed.find("empty");
   if (members->empty() && (empty == parsed.end() || *empty != true)) {
-    return error = "members: none; say \"empty\": true beside it if there are to be none", std::nullopt;
+    return fail("members: none listed; add \"empty\": true if the pool is to have no hosts");
   }
   HostList list;
   std::set<std::string> ids;
   for (std::size_t i = 0; i < members->size(); ++i) {
     const auto host = ParseHost((*members)[i], error);
-    if (!host) return error = "members[" + std::to_string(i) + "]." + error, std::nullopt;
+    if (!host) return fail("members[" + std::to_string(i) + "]." + error);
     if (!ids.insert(host->server.id).second) {
-      return error = "members[" + std::to_string(i) + "].id: '" + host->server.id + "' is listed twice",
-             std::nullopt;
+      return fail("members[" + std::to_string(i) + "].id: '" + host->server.id + "' is listed twice");
     }
     if (host->server.state != ServerState::kGone) list.hosts.push_back(*host);
   }
--- a/src/membership/host_source.hpp
+++ b/src/membership/host_source.hpp
@@ -1,5 +1,5 @@
-// Where a pool's list of hosts comes from. One interface, whatever the source: the platform's discovery, the
-// operators' file itself, or a file that another program keeps.
+// The sources of a pool's host list behind one interface: the operators' configuration file itself (static),
+// a JSON file that another program maintains, or the discovery service.
 #ifndef OPALSWITCH_MEMBERSHIP_HOST_SOURCE_HPP_
 #define OPALSWITCH_MEMBERSHIP_HOST_SOURCE_HPP_
 
@@ -22,20 +22,22 @@
  public:
   struct Handlers {
     std::function<void(const HostList&)> on_update;
-    std::function<void()> on_failure;                // the last list stays valid
-    std::function<void(const std::string&)> on_log;  // one line for the operators' log
+    std::function<void()> on_failure;                // the source failed; the last list stays valid
+    std::function<void(const std::string&)> on_log;  // one line for the log
   };
   virtual ~HostSource() = default;
-  // Begins to tell; what is known at once is told before this returns.
+  // Starts delivering lists to the handlers. A list that is available immediately is delivered before this
+  // returns.
   virtual void Start() = 0;
-  // The operators' file lists these hosts now. Of no concern to sources that know theirs from elsewhere.
+  // Called when the operators' file was reloaded and lists these hosts. Ignored by all but the static source.
   virtual void SetStaticHosts(std::vector<Host> /*hosts*/) {}
 };
 
-// The source that a pool's membership names; not started.
+// Creates the source that `membership` configures, not started yet.
 std::unique_ptr<HostSource> MakeHostSource(boost::asio::io_context& io, const config::Membership& membership,
                                            HostSource::Handlers handlers);
 
+// The hosts in the operators' file.
 class StaticSource : public HostSource {
  public:
   StaticSource(std::vector<Host> hosts, Handlers handlers);
@@ -47,9 +49,10 @@
   const Handlers handlers_;
 };
 
-// A JSON file in discovery's form: {"members":[...]}; "revision" and "complete" may be left out. To be
-// replaced by renaming. One that is half written, broken or empty changes nothing and is told of; so is one
-// with no hosts in it, unless it says "empty": true.
+// A JSON file in the form of a discovery response, {"members":[...]}; "revision" and "complete" are optional.
+// Writers should replace the file by renaming. A file that is unreadable, incomplete, malformed or empty is
+// logged and reported as a failure, and the last good list stays. So is one without hosts, unless it contains
+// "empty": true.
 class FileSource : public HostSource {
  public:
   FileSource(boost::asio::io_context& io, std::string path, Handlers handlers);
@@ -62,10 +65,10 @@
   const std::string path_;
   const Handlers handlers_;
   std::unique_ptr<FileWatcher> watcher_;
-  std::string accepted_text_;  // the text that holds now
+  std::string accepted_text_;  // of the list in effect; empty if none has been read
 };
 
-// The platform's discovery, watched; a call that failed is made again.
+// The discovery service, watched continuously; failed calls are retried.
 class DiscoverySource : public HostSource {
  public:
   DiscoverySource(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
@@ -77,7 +80,7 @@
   Discovery discovery_;
 };
 
-// What a file of hosts says; `error` tells in one line why it says nothing.
+// Parses the text of a host file. On failure returns nothing and sets `error` to one line that says why.
 std::optional<HostList> ReadHostFile(const std::string& text, std::string& error);
 
 }  // namespace opalswitch::gateway
--- a/src/membership/node_registry.cpp
+++ b/src/membership/node_registry.cpp
@@ -71,14 +71,14 @@
   hosts_by_pool_.erase(pool);
   for (auto& [id, drain] : drains_) {
     drain.reported_by.erase(pool);
-    // Nobody is left who could tell of the drain's end: the word of any pool will do.
+    // No source is left that could report the end of the drain, so any pool that lists the node may end it.
     if (!drain.reported_by.empty()) continue;
     for (const PoolId other : PoolsOf(id)) drain.reported_by.insert(other);
   }
   RemoveUnlistedDrains();
 }
 
-// A drain that nobody could hear of any more is not kept: what peers can make grow is bounded by the lists.
+// Removes the drains of nodes that no pool lists. This bounds the drains kept by the lengths of the lists.
 void NodeRegistry::RemoveUnlistedDrains() {
   std::erase_if(drains_, [this](const auto& entry) {
     return std::none_of(hosts_by_pool_.begin(), hosts_by_pool_.end(),
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -6,12 +6,16 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr int kResetConfirmations = 3;  // whole lists in turn after which an older count is believed
-constexpr int kMaxImmediateRetries =
-    4;  // failed calls in turn up to which a broken answer is asked for at once
-constexpr double kQueueDelaySmoothingFactor = 0.3;  // of one call in how long a turn takes
-constexpr int kMaxDoublings = 16;  // times that anything is doubled: beyond that all bounds are reached
-
+// Consecutive complete lists with a lower revision after which discovery is taken to have restarted its
+// revisions.
+constexpr int kResetConfirmations = 3;
+// Consecutive failures up to which truncated and malformed responses are retried without delay.
+constexpr int kMaxImmediateRetries = 4;
+constexpr double kQueueDelaySmoothingFactor = 0.3;
+// Keeps the exponent in range; every delay has reached its bound by then.
+constexpr int kMaxDoublings = 16;
+
+// `initial` doubled `doublings` times, at most `max`.
 Millis ExponentialDelay(Millis initial, int doublings, Millis max) {
   return std::min(max, std::ldexp(initial, std::clamp(doublings, 0, kMaxDoublings)));
 }
@@ -35,7 +39,8 @@
     : times_(times), revision_(revision) {}
 
 std::string WatchSchedule::BeginCall(double uniform) {
-  // While it sends older lists only a whole one can tell whether it has begun anew.
+  // After a list with a lower revision, only a complete list can show whether discovery has restarted its
+  // revisions.
   wait_ = 0;
   if (!revision_ || stale_lists_ > 0) return "/discovery/hosts";
   wait_ = std::floor((consecutive_failures_ > 0 ? times_.mean_recovery_wait : times_.mean_wait) *
@@ -86,25 +91,26 @@
 std::optional<std::string> WatchSchedule::RecordFailure(WatchFailure failure, Millis elapsed,
                                                         const std::string& detail) {
   consecutive_timeouts_ = failure == WatchFailure::kTimeout ? consecutive_timeouts_ + 1 : 0;
-  if (failure == WatchFailure::kErrorStatus)
-    UpdateQueueDelay(std::max(queue_delay_, elapsed));  // quick: it is down, no matter of turns
+  // An error that comes quickly means that discovery is down, and says nothing about its queue.
+  if (failure == WatchFailure::kErrorStatus) UpdateQueueDelay(std::max(queue_delay_, elapsed));
   if (consecutive_failures_++ > 0) return std::nullopt;
   std::string line = std::string("discovery ") + DescribeFailure(failure);
   if (!detail.empty()) line += " (" + detail + ")";
   return line + (revision_ ? "; the last good list, revision " + std::to_string(*revision_) + ", stays"
-                           : "; no list of its is known yet");
+                           : "; no list has been received yet");
 }
 
 std::optional<std::string> WatchSchedule::RecordSuccess(Millis elapsed, bool has_hosts) {
-  // Without news the answer came when the wait was over. With news, that were there already or came in the
-  // meantime, the turn took that long at the most.
+  // A response without hosts was sent when the wait was over, so the rest of the time was queueing. Changes
+  // may have arrived at any time during the wait, so a response with hosts gives only an upper bound of the
+  // queue delay.
   if (!has_hosts && wait_ > 0) UpdateQueueDelay(elapsed - wait_);
   if (has_hosts) UpdateQueueDelay(consecutive_failures_ > 0 ? elapsed : std::min(elapsed, queue_delay_));
-  const int failed = consecutive_failures_;
+  const int failures = consecutive_failures_;
   consecutive_failures_ = consecutive_timeouts_ = 0;
-  if (failed == 0) return std::nullopt;
-  return "discovery answers again after " + std::to_string(failed) +
-         (failed == 1 ? " failed call" : " failed calls") + "; revision " +
+  if (failures == 0) return std::nullopt;
+  return "discovery answers again after " + std::to_string(failures) +
+         (failures == 1 ? " failed call" : " failed calls") + "; revision " +
          (revision_ ? std::to_string(*revision_) : "unknown");
 }
 
--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -1,6 +1,7 @@
-// How the watch on discovery is kept: how long a call may wait, when it counts as failed, when the next one
-// is made, which answers are believed, and what of it the operators read. Does no I/O and reads no clock;
-// whoever makes the calls (discovery.hpp) tells what came of them. Not thread-safe.
+// The timing and failure policy of the long polls ("watches") of the discovery service: how long each call
+// may wait on the server, when it counts as timed out, when the next call is made, which host lists are
+// accepted, and what is logged. Performs no I/O and reads no clock: the caller (discovery.hpp) makes the
+// calls and reports their results. Not thread-safe.
 #ifndef OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 #define OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 
@@ -13,68 +14,84 @@
 
 namespace opalswitch::gateway {
 
-// All in milliseconds. A drain counts as told 2 s after the end of a watch's wait at the latest, and no
-// request may go 0.5 s after that: a watch that fell silent has to be given up early enough for another.
+// All in milliseconds. A gateway is held to know of a drain at the latest 2 s after a watch's wait has ended,
+// and may send the host no request 0.5 s after that. A watch that does not answer must therefore time out
+// early enough to leave time for another call.
 struct WatchTimes {
-  Millis mean_wait = 5000;  // how long a watch may wait, in the mean: one that is cut off shows only after it
-  Millis mean_recovery_wait = 2000;  // the same after a failure
-  Millis response_timeout =
-      600;  // beyond the wait and twice what a turn takes; doubles with each call in turn
-  Millis max_response_timeout = 4000;  // that was not answered, to this
-  Millis connect_timeout = 1000;       // for a connection to come up
-  Millis body_timeout = 1000;          // from an answer's head to its end
-  Millis min_call_interval =
-      100;                      // from the start of a call to the start of the next; a watch lapses after 200
-  Millis max_call_delay = 100;  // from an answer to the next call: a watch that goes on keeps its turn
-  Millis initial_retry_delay = 200;  // from a failed call to the next, before it is spread; doubles ...
-  Millis max_retry_delay = 3000;     // ... to this
+  // Mean time that a watch asks discovery to wait for changes. A watch whose connection is lost silently is
+  // noticed only after this time.
+  Millis mean_wait = 5000;
+  // The same while the last call has failed.
+  Millis mean_recovery_wait = 2000;
+  // Time-out for the response, in addition to the wait and to twice the queue delay. Doubles with each
+  // consecutive time-out, up to max_response_timeout.
+  Millis response_timeout = 600;
+  Millis max_response_timeout = 4000;
+  Millis connect_timeout = 1000;
+  // From the response's header to the end of its body.
+  Millis body_timeout = 1000;
+  // Between the starts of two successive calls. Discovery ends a watch that is not continued within 200 ms.
+  Millis min_call_interval = 100;
+  // Bound on the delay between a response and the next call. It must be below 200 ms for discovery to treat
+  // the call as a continued watch.
+  Millis max_call_delay = 100;
+  // Mean delay after the first failed call; doubles with each consecutive failure, up to max_retry_delay.
+  Millis initial_retry_delay = 200;
+  Millis max_retry_delay = 3000;
 };
 
-// What came of a call that was not answered as it should be. kEnded: not a byte of an answer came, as when
-// discovery goes down; kBroken: the answer began.
+// Why a call failed.
 enum class WatchFailure {
-  kConnectFailed,
-  kTimeout,
-  kClosed,
-  kTruncated,
-  kErrorStatus,
-  kMalformed,
-  kStaleRevision
+  kConnectFailed,  // no connection within connect_timeout, or it was refused
+  kTimeout,        // no response header in time
+  kClosed,         // the connection ended before the first byte of a response, as when discovery shuts down
+  kTruncated,      // the connection ended, or the time ran out, within a response
+  kErrorStatus,    // an HTTP status other than 200
+  kMalformed,      // the body is no valid host list
+  kStaleRevision   // the list is older than the one known
 };
 
 class WatchSchedule {
  public:
-  // `revision`: of the last list known, if it came from this discovery.
+  // `revision` is that of the last list known, if that list came from the same discovery service.
   explicit WatchSchedule(std::optional<std::int64_t> revision = std::nullopt, const WatchTimes& times = {});
 
-  // The path and query of the next call. `uniform`, in [0, 1) as everywhere here, draws how long it may wait,
-  // from half to one and a half of the mean: gateways that started together soon ask at different times.
+  // Starts a call and returns its path and query. `uniform` is a random number in [0, 1), here and in the
+  // other functions. It sets the wait to between 0.5 and 1.5 times the mean, so that gateways that started
+  // together soon call at different times.
   std::string BeginCall(double uniform);
-  // From the request's last byte to the answer's head.
+
+  // Time-out from the end of the request to the response's header.
   Millis ResponseTimeout() const;
-  // From an answer to the next call: a little, as far as turns took long lately. A watch goes on if the next
-  // call comes within 200 ms, and was never made to stand in line; one that lapses has to.
+
+  // Delay between a response and the next call: random, up to twice the recent queue delay. Discovery serves
+  // a watch that continues within 200 ms without queueing it; a later call has to queue.
   Millis NextCallDelay(double uniform) const;
-  // Whether the call that has just failed is made again at once, without asking anybody. That is so once, and
-  // for faults of this gateway's own call: news that were sent and could not be read count as told, and so do
-  // those that a silent watch missed. Silence is noticed at a time that was drawn, so that it spreads by
-  // itself.
+
+  // Whether a call that has just failed should be repeated at once, without consulting the policy. True for
+  // the first time-out, and for a bounded number of truncated or malformed responses: discovery counts
+  // changes that it has sent as known to the gateway, so a lost drain cannot wait for the retry delay.
+  // Time-outs happen at random times, so these retries do not come from all gateways at once.
   bool ShouldRetryImmediately(WatchFailure failure) const;
-  // From a failed call to the next, for those who are not told when to call.
+
+  // Delay before the next call after a failure, for callers without a retry policy of their own.
   Millis RetryDelay(double uniform) const;
 
-  // Whether the list is to be taken over. One that is older than what is known is a lagging copy's: it would
-  // bring back hosts that drain. Only when several whole lists in turn say so, each no older than the one
-  // before it, has discovery itself begun to count anew, and is believed.
+  // Whether `list` is to be applied. A list with a revision below the one known is rejected: it may come from
+  // a replica of discovery that lags behind, and would bring back hosts that drain. Discovery is taken to
+  // have restarted its revisions only after several consecutive complete lists with such revisions, none
+  // lower than the one before.
   bool AcceptList(const HostList& list);
 
-  // These give a line for the operators' log: when the first of several calls fails, when calls succeed
-  // again, and never in between. `took`: ms from the request to the answer. `detail` is a status or an error,
-  // may be empty; `news`: whether the list named any host.
+  // These return a line for the log for the first of several consecutive failures and for the first success
+  // after a failure, else nothing. `elapsed` is the time from the request to the response or failure;
+  // `detail` is an HTTP status or an error text, and may be empty; `has_hosts` says whether the list named
+  // any host.
   std::optional<std::string> RecordFailure(WatchFailure failure, Millis elapsed, const std::string& detail);
   std::optional<std::string> RecordSuccess(Millis elapsed, bool has_hosts);
 
-  // Discovery is elsewhere: revisions are each discovery's own.
+  // Forgets the revision and all failures; called when the address of discovery changes, as revisions of one
+  // discovery service mean nothing to another.
   void Reset();
 
   const WatchTimes& times() const { return times_; }
@@ -85,10 +102,10 @@
 
   const WatchTimes times_;
   std::optional<std::int64_t> revision_;
-  Millis wait_ = 0;         // of the call that is on; 0: asks for the whole list at once
-  Millis queue_delay_ = 0;  // that a call waited lately until discovery came to it
+  Millis wait_ = 0;         // of the current call; 0 if it asks for the complete list without waiting
+  Millis queue_delay_ = 0;  // EWMA of the time that calls were queued at discovery
   int consecutive_failures_ = 0, consecutive_timeouts_ = 0;
-  int stale_lists_ = 0;  // whole lists in turn that were older than revision_
+  int stale_lists_ = 0;  // consecutive complete lists with a revision below revision_
   std::int64_t stale_revision_ = 0;
 };
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -93,10 +93,10 @@
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"", "is empty"},
       {" \n", "is empty"},
-      {"{\"members\":[{\"id\":", "no whole JSON object"},
-      {"[]", "no whole JSON object"},
+      {"{\"members\":[{\"id\":", "is not a complete JSON object"},
+      {"[]", "is not a complete JSON object"},
       {"{}", "members: missing"},
-      {"{\"members\":[]}", "members: none"},
+      {"{\"members\":[]}", "members: none listed"},
       {"{\"members\":[{\"id\":\"a\",\"phase\":\"up\",\"host_port\":\"x\"}]}", "members[0].host_port"},
       {"{\"members\":[{\"id\":\"a\",\"phase\":\"asleep\",\"host_port\":\"127.0.0.1:1\"}]}",
        "members[0].phase"},
