--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -19,12 +19,12 @@
 using gateway::WatchSchedule;
 using gateway::WatchTimes;
 
-HostList Whole(std::int64_t revision) { return {revision, true, {}}; }
-HostList Changes(std::int64_t revision) { return {revision, false, {}}; }
+HostList CompleteList(std::int64_t revision) { return {revision, true, {}}; }
+HostList DeltaList(std::int64_t revision) { return {revision, false, {}}; }
 
 // A drain counts as told 2 s after the wait is over, and nothing may go 0.5 s later. A watch that fell silent
 // is given up long enough before that for another call, which may wait as long as its turn takes.
-TEST(WatchSchedule, ASilentWatchLeavesTimeForAnotherCallBeforeADrainIsDue) {
+TEST(WatchSchedule, TimedOutWatchLeavesTimeToRetryBeforeDrainDeadline) {
   for (const double uniform : {0.0, 0.5, 0.999}) {
     WatchSchedule schedule(41);
     schedule.BeginCall(uniform);
@@ -37,21 +37,21 @@
 }
 
 // Gateways that start together must not all ask again together: discovery works through calls in turn.
-TEST(WatchSchedule, AHundredGatewaysThatStartTogetherAskAgainOverTheWholeWait) {
+TEST(WatchSchedule, CallsOfGatewaysStartedTogetherAreSpreadOverTheWait) {
   std::mt19937 random(3);
-  std::map<int, int> in_second;
-  Millis most = 0;
+  std::map<int, int> calls_by_second;
+  Millis longest = 0;
   for (int i = 0; i < 100; ++i) {
     WatchSchedule schedule(0);
     schedule.BeginCall(std::uniform_real_distribution(0.0, 1.0)(random));
-    ++in_second[static_cast<int>(schedule.ResponseTimeout() / 1000)];
-    most = std::max(most, schedule.ResponseTimeout());
+    ++calls_by_second[static_cast<int>(schedule.ResponseTimeout() / 1000)];
+    longest = std::max(longest, schedule.ResponseTimeout());
   }
-  for (const auto& [second, calls] : in_second) EXPECT_LE(calls, 30) << second;
-  EXPECT_LE(most, 1.5 * 5000 + 600);
+  for (const auto& [second, calls] : calls_by_second) EXPECT_LE(calls, 30) << second;
+  EXPECT_LE(longest, 1.5 * 5000 + 600);
 }
 
-TEST(WatchSchedule, AnOverbookedDiscoveryIsGivenMoreTimeByEachUnansweredCall) {
+TEST(WatchSchedule, ResponseTimeoutGrowsWithConsecutiveTimeouts) {
   WatchSchedule schedule(41);
   Millis last = 0;
   for (int i = 0; i < 40; ++i) {
@@ -69,7 +69,7 @@
 
 // News wake all watches at once; what they ask next stands in a line, and the line's length is told by what
 // waited in it.
-TEST(WatchSchedule, CallsAfterNewsAreSpreadAsFarAsTurnsTookLong) {
+TEST(WatchSchedule, DelayAfterUpdateFollowsQueueDelay) {
   WatchSchedule schedule(41);
   schedule.BeginCall(0.5);
   schedule.RecordSuccess(5002, false);
@@ -93,7 +93,7 @@
 // A drain that was sent and could not be read, or that a silent watch missed, counts as told: it can't wait
 // for a gap. Seen on a bad day: a watch fell silent, the next answer broke off, and the one after it came 4 s
 // later.
-TEST(WatchSchedule, WhatCountsAsToldIsAskedForAgainAtOnceButNotForEver) {
+TEST(WatchSchedule, PossiblyLostUpdateIsRetriedImmediatelyABoundedNumberOfTimes) {
   WatchSchedule schedule(41);
   schedule.RecordFailure(WatchFailure::kTimeout, 5600, "");
   EXPECT_TRUE(schedule.ShouldRetryImmediately(WatchFailure::kTimeout));
@@ -109,16 +109,16 @@
 }
 
 // All watches end together, or a line is full: who is next the policy says, or all would call at once.
-TEST(WatchSchedule, WhatAllMeetTogetherIsNotAskedForAgainAtOnce) {
-  for (const WatchFailure fault : {WatchFailure::kConnectFailed, WatchFailure::kClosed,
-                                   WatchFailure::kErrorStatus, WatchFailure::kStaleRevision}) {
+TEST(WatchSchedule, FailuresSharedByAllGatewaysAreNotRetriedImmediately) {
+  for (const WatchFailure failure : {WatchFailure::kConnectFailed, WatchFailure::kClosed,
+                                     WatchFailure::kErrorStatus, WatchFailure::kStaleRevision}) {
     WatchSchedule schedule(41);
-    schedule.RecordFailure(fault, 100, "");
-    EXPECT_FALSE(schedule.ShouldRetryImmediately(fault));
+    schedule.RecordFailure(failure, 100, "");
+    EXPECT_FALSE(schedule.ShouldRetryImmediately(failure));
   }
 }
 
-TEST(WatchSchedule, GapsGrowToABoundAndAreSpread) {
+TEST(WatchSchedule, RetryDelayGrowsToItsBoundAndIsRandomized) {
   WatchSchedule schedule(41);
   schedule.RecordFailure(WatchFailure::kConnectFailed, 1, "");
   EXPECT_EQ(schedule.RetryDelay(0.5), schedule.times().initial_retry_delay);
@@ -128,29 +128,29 @@
 }
 
 // A lagging copy's list would bring back hosts that drain.
-TEST(WatchSchedule, AnOlderListIsNoNews) {
+TEST(WatchSchedule, ListWithLowerRevisionIsRejected) {
   WatchSchedule schedule(41);
-  EXPECT_FALSE(schedule.AcceptList(Whole(40)));
-  EXPECT_FALSE(schedule.AcceptList(Changes(40)));
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(40)));
+  EXPECT_FALSE(schedule.AcceptList(DeltaList(40)));
   EXPECT_EQ(schedule.revision(), 41);
   EXPECT_EQ(schedule.BeginCall(0.5),
             "/discovery/hosts");  // whether it has begun anew only a whole list can tell
-  EXPECT_TRUE(schedule.AcceptList(Whole(41)));
-  EXPECT_TRUE(schedule.AcceptList(Changes(43)));
+  EXPECT_TRUE(schedule.AcceptList(CompleteList(41)));
+  EXPECT_TRUE(schedule.AcceptList(DeltaList(43)));
   EXPECT_EQ(schedule.revision(), 43);
 }
 
-TEST(WatchSchedule, ADiscoveryThatCountsAnewIsBelievedAfterSeveralWholeLists) {
+TEST(WatchSchedule, RestartedRevisionsAreAcceptedAfterSeveralCompleteLists) {
   WatchSchedule schedule(41);
-  EXPECT_FALSE(schedule.AcceptList(Whole(3)));
-  EXPECT_FALSE(schedule.AcceptList(Changes(4)));  // of what?
-  EXPECT_FALSE(schedule.AcceptList(Whole(2)));    // not even later than the one before it
-  EXPECT_FALSE(schedule.AcceptList(Whole(2)));
-  EXPECT_TRUE(schedule.AcceptList(Whole(4)));
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(3)));
+  EXPECT_FALSE(schedule.AcceptList(DeltaList(4)));     // of what?
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));  // not even later than the one before it
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));
+  EXPECT_TRUE(schedule.AcceptList(CompleteList(4)));
   EXPECT_EQ(schedule.revision(), 4);
 }
 
-TEST(WatchSchedule, OneLineForManyFailedCallsAndOneWhenItAnswers) {
+TEST(WatchSchedule, ConsecutiveFailuresAreLoggedOnceAndRecoveryOnce) {
   WatchSchedule schedule(41);
   EXPECT_EQ(schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503"),
             "discovery refuses (503); the last good list, revision 41, stays");
@@ -161,7 +161,7 @@
 }
 
 // Whatever comes, in any order: bounds hold, and the revision falls only by whole lists that agree.
-TEST(WatchSchedule, HoldsItsBoundsThroughRandomAnswers) {
+TEST(WatchSchedule, TimesStayInBoundsUnderRandomResults) {
   std::mt19937 random(11);
   WatchSchedule schedule;
   for (int i = 0; i < 20000; ++i) {
@@ -170,12 +170,12 @@
     } else {
       const auto before = schedule.revision();
       const HostList list{static_cast<std::int64_t>(random() % 9) - 2, random() % 2 == 0, {}};
-      const bool taken = schedule.AcceptList(list);
-      ASSERT_EQ(schedule.revision(), taken ? list.revision : before);
-      if (taken && before && list.revision < *before) {
+      const bool is_accepted = schedule.AcceptList(list);
+      ASSERT_EQ(schedule.revision(), is_accepted ? list.revision : before);
+      if (is_accepted && before && list.revision < *before) {
         ASSERT_TRUE(list.complete);
       }
-      if (taken) schedule.RecordSuccess(random() % 9000, random() % 2 == 0);
+      if (is_accepted) schedule.RecordSuccess(random() % 9000, random() % 2 == 0);
     }
     schedule.BeginCall((random() % 100) / 100.0);
     ASSERT_GT(schedule.ResponseTimeout(), 0);
@@ -187,118 +187,122 @@
   }
 }
 
-constexpr char kDraining[] =
+constexpr char kDrainingHost[] =
     R"({"revision":42,"complete":false,"members":[{"id":"h0","host_port":"127.0.0.1:1","phase":"draining"}]})";
 
 // Discovery as a scripted peer; a failed watch begins anew at once.
-struct Watched {
-  explicit Watched(const WatchTimes& times = Short())
+struct DiscoveryFixture {
+  explicit DiscoveryFixture(const WatchTimes& times = ShortTimes())
       : discovery(io, peer.address(), 41,
-                  {[this](const HostList& list) { told.push_back(list); },
+                  {[this](const HostList& list) { updates.push_back(list); },
                    [this] {
-                     ++failed;
+                     ++failures;
                      asio::post(io, [this] { discovery.Watch(); });
                    },
-                   [this](const std::string& line) { lines.push_back(line); }},
+                   [this](const std::string& line) { log_lines.push_back(line); }},
                   1, times) {
     discovery.Watch();
   }
   // For silence alone, and that of the first call alone: what follows a failure is waited for.
-  static WatchTimes Short() {
+  static WatchTimes ShortTimes() {
     WatchTimes times;
     times.mean_wait = 200, times.response_timeout = 300,
     times.mean_recovery_wait = times.body_timeout = 600000, times.min_call_interval = 0;
     return times;
   }
   // The n-th call, from 0; a broken connection can be told only by the call that follows.
-  Peer::Taken& Asked(std::size_t n) {
+  Peer::Taken& AwaitRequest(std::size_t n) {
     EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() > n; })) << "call " << n;
     return peer.requests.at(n);
   }
   // One bad answer to the first call: nothing of it is believed, the next call goes on from the last good
   // list, a drain told there is kept, and the operators read two lines.
-  void Survives(const std::function<void(Peer::Taken&)>& bad, const std::string& words,
-                bool again_at_once = true) {
-    bad(Asked(0));
-    Peer::Taken& next = Asked(1);
+  void ExpectRecoveryAfter(const std::function<void(Peer::Taken&)>& respond_badly,
+                           const std::string& expected_text, bool is_retried_immediately = true) {
+    respond_badly(AwaitRequest(0));
+    Peer::Taken& next = AwaitRequest(1);
     EXPECT_EQ(std::string(next.http.target()).find("/discovery/hosts?after=41&wait_ms="), 0u);
-    EXPECT_TRUE(told.empty());
-    next.Answer(200, kDraining);
-    ASSERT_TRUE(RunUntil(io, [&] { return !told.empty(); }));
-    ASSERT_EQ(told[0].hosts.size(), 1u);
-    EXPECT_EQ(told[0].hosts[0].server.state, ServerState::kDraining);
-    EXPECT_EQ(failed, again_at_once ? 0 : 1);
-    ASSERT_EQ(lines.size(), 2u);
-    EXPECT_NE(lines[0].find(words), std::string::npos) << lines[0];
-    EXPECT_NE(lines[0].find("revision 41"), std::string::npos) << lines[0];
-    EXPECT_EQ(lines[1], "discovery answers again after 1 failed call; revision 42");
+    EXPECT_TRUE(updates.empty());
+    next.Answer(200, kDrainingHost);
+    ASSERT_TRUE(RunUntil(io, [&] { return !updates.empty(); }));
+    ASSERT_EQ(updates[0].hosts.size(), 1u);
+    EXPECT_EQ(updates[0].hosts[0].server.state, ServerState::kDraining);
+    EXPECT_EQ(failures, is_retried_immediately ? 0 : 1);
+    ASSERT_EQ(log_lines.size(), 2u);
+    EXPECT_NE(log_lines[0].find(expected_text), std::string::npos) << log_lines[0];
+    EXPECT_NE(log_lines[0].find("revision 41"), std::string::npos) << log_lines[0];
+    EXPECT_EQ(log_lines[1], "discovery answers again after 1 failed call; revision 42");
   }
 
   asio::io_context io;
   Peer peer{io};
-  std::vector<HostList> told;
-  std::vector<std::string> lines;
-  int failed = 0;
+  std::vector<HostList> updates;
+  std::vector<std::string> log_lines;
+  int failures = 0;
   Discovery discovery;
 };
 
 // Long times where the fault must show by itself: a test that waited for them would fail.
-WatchTimes Patient() {
+WatchTimes LongTimes() {
   WatchTimes times;
   times.mean_wait = times.mean_recovery_wait = times.response_timeout = times.max_response_timeout =
       times.body_timeout = 600000;
   return times;
 }
 
-TEST(Discovery, SurvivesA503) {
-  Watched watched(Patient());
-  watched.Survives([](Peer::Taken& call) { call.Answer(503, ""); }, "refuses (503)", false);
+TEST(Discovery, RecoversFromErrorStatus) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.ExpectRecoveryAfter([](Peer::Taken& call) { call.Answer(503, ""); }, "refuses (503)", false);
 }
 
 // A discovery that goes down ends all watches together: who may call again, and when, the policy says.
-TEST(Discovery, SurvivesAWatchThatEndsWithoutAByte) {
-  Watched watched(Patient());
-  watched.Survives([&](Peer::Taken& call) { asio::post(watched.io, [on = call.on] { on->Close(); }); },
-                   "ends the watch", false);
+TEST(Discovery, RecoversFromConnectionClosedBeforeResponse) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.ExpectRecoveryAfter(
+      [&](Peer::Taken& call) { asio::post(fixture.io, [on = call.on] { on->Close(); }); }, "ends the watch",
+      false);
 }
 
 // The connection ends after this much of an answer.
-void SurvivesABreakAfter(const std::string& text) {
-  Watched watched(Patient());
-  watched.Survives(
+void ExpectRecoveryAfterTruncation(const std::string& text) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.ExpectRecoveryAfter(
       [&](Peer::Taken& call) {
         call.on->Raw(text);
-        asio::post(watched.io, [on = call.on] { on->Close(); });
+        asio::post(fixture.io, [on = call.on] { on->Close(); });
       },
       "breaks its answer off");
 }
 
-TEST(Discovery, SurvivesABreakInsideTheHead) { SurvivesABreakAfter("HTTP/1.1 200 OK\r\nContent-Le"); }
-TEST(Discovery, SurvivesABreakInsideTheBody) {
-  SurvivesABreakAfter("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
+TEST(Discovery, RecoversFromTruncatedHeader) {
+  ExpectRecoveryAfterTruncation("HTTP/1.1 200 OK\r\nContent-Le");
+}
+TEST(Discovery, RecoversFromTruncatedBody) {
+  ExpectRecoveryAfterTruncation("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
 }
 
 // The head has come: what is left is not waited for as long as news are.
-TEST(Discovery, SurvivesABodyThatStopsShort) {
-  WatchTimes times = Patient();
+TEST(Discovery, RecoversFromStalledBody) {
+  WatchTimes times = LongTimes();
   times.body_timeout = 1000;
-  Watched watched(times);
-  watched.Survives(
+  DiscoveryFixture fixture(times);
+  fixture.ExpectRecoveryAfter(
       [](Peer::Taken& call) {
         call.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
       },
       "breaks its answer off");
 }
 
-TEST(Discovery, SurvivesJsonThatCantBeRead) {
-  Watched watched(Patient());
-  watched.Survives([](Peer::Taken& call) { call.Answer(200, "{\"revision\":42,"); }, "can't be read");
+TEST(Discovery, RecoversFromMalformedJson) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.ExpectRecoveryAfter([](Peer::Taken& call) { call.Answer(200, "{\"revision\":42,"); },
+                              "can't be read");
 }
 
 // All of the list is refused: half a list would leave out hosts, or keep some that drain.
-TEST(Discovery, SurvivesAnEntryWithAWrongType) {
-  Watched watched(Patient());
-  watched.Survives(
+TEST(Discovery, RejectsListWithOneMalformedEntry) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.ExpectRecoveryAfter(
       [](Peer::Taken& call) {
         call.Answer(200, R"({"revision":42,"complete":true,"members":[)"
                          R"({"id":"h0","host_port":"127.0.0.1:1","phase":"up"},)"
@@ -307,33 +311,33 @@
       "can't be read");
 }
 
-TEST(Discovery, SurvivesNoAnswerAtAll) {
-  Watched watched;
-  watched.Survives([](Peer::Taken&) {}, "doesn't answer in time");
+TEST(Discovery, RecoversFromMissingResponse) {
+  DiscoveryFixture fixture;
+  fixture.ExpectRecoveryAfter([](Peer::Taken&) {}, "doesn't answer in time");
 }
 
-TEST(Discovery, SurvivesASmallerRevision) {
-  Watched watched(Patient());
-  watched.Asked(0).Answer(200, R"({"revision":40,"complete":true,"members":[]})");
-  EXPECT_EQ(watched.Asked(1).http.target(), "/discovery/hosts");
-  EXPECT_TRUE(watched.told.empty());
-  watched.Asked(1).Answer(200, R"({"revision":44,"complete":true,"members":[]})");
-  EXPECT_EQ(std::string(watched.Asked(2).http.target()).find("/discovery/hosts?after=44&"), 0u);
-  EXPECT_EQ(watched.told.size(), 1u);
-  EXPECT_NE(watched.lines.at(0).find("older than the one known (40)"), std::string::npos);
+TEST(Discovery, RejectsLowerRevisionAndRequestsCompleteList) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.AwaitRequest(0).Answer(200, R"({"revision":40,"complete":true,"members":[]})");
+  EXPECT_EQ(fixture.AwaitRequest(1).http.target(), "/discovery/hosts");
+  EXPECT_TRUE(fixture.updates.empty());
+  fixture.AwaitRequest(1).Answer(200, R"({"revision":44,"complete":true,"members":[]})");
+  EXPECT_EQ(std::string(fixture.AwaitRequest(2).http.target()).find("/discovery/hosts?after=44&"), 0u);
+  EXPECT_EQ(fixture.updates.size(), 1u);
+  EXPECT_NE(fixture.log_lines.at(0).find("older than the one known (40)"), std::string::npos);
 }
 
 // Refused dials neither end the watch nor fill the log.
-TEST(Discovery, SurvivesADiscoveryThatIsAwayForLong) {
-  Watched watched(Patient());
-  watched.Asked(0);
-  watched.peer.Vanish();
-  ASSERT_TRUE(RunUntil(watched.io, [&] { return watched.failed >= 20; }));
-  EXPECT_EQ(watched.lines.size(), 1u);
-  watched.peer.ComeBack();
-  watched.Asked(1).Answer(200, kDraining);
-  ASSERT_TRUE(RunUntil(watched.io, [&] { return !watched.told.empty(); }));
-  EXPECT_EQ(watched.lines.size(), 2u);
+TEST(Discovery, RecoversFromLongOutageWithTwoLogLines) {
+  DiscoveryFixture fixture(LongTimes());
+  fixture.AwaitRequest(0);
+  fixture.peer.Vanish();
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.failures >= 20; }));
+  EXPECT_EQ(fixture.log_lines.size(), 1u);
+  fixture.peer.ComeBack();
+  fixture.AwaitRequest(1).Answer(200, kDrainingHost);
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return !fixture.updates.empty(); }));
+  EXPECT_EQ(fixture.log_lines.size(), 2u);
 }
 
 }  // namespace
