--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,5 +1,6 @@
-// The watch on discovery through its failures: what is believed, what is asked next and when, and what the
-// operators read. The pace by itself, and the calls over loopback sockets with times shortened.
+// The watch of the discovery service under failures: which lists are accepted, which call follows and when,
+// and what is logged. Tests the schedule by itself, and the HTTP client over loopback sockets with shortened
+// times.
 #include "membership/discovery.hpp"
 
 #include <gtest/gtest.h>
@@ -22,8 +23,9 @@
 HostList CompleteList(std::int64_t revision) { return {revision, true, {}}; }
 HostList DeltaList(std::int64_t revision) { return {revision, false, {}}; }
 
-// A drain counts as told 2 s after the wait is over, and nothing may go 0.5 s later. A watch that fell silent
-// is given up long enough before that for another call, which may wait as long as its turn takes.
+// Guards against a time-out so late that a drain is missed: a drain counts as known 2 s after the wait is
+// over, and no request may be sent 0.5 s later. The rest of that time is left for another call, which may be
+// queued.
 TEST(WatchSchedule, TimedOutWatchLeavesTimeToRetryBeforeDrainDeadline) {
   for (const double uniform : {0.0, 0.5, 0.999}) {
     WatchSchedule schedule(41);
@@ -31,12 +33,12 @@
     const Millis wait = schedule.ResponseTimeout() - schedule.times().response_timeout;
     EXPECT_NEAR(wait, schedule.times().mean_wait * (0.5 + uniform), 1);
     schedule.RecordFailure(WatchFailure::kTimeout, schedule.ResponseTimeout(), "");
-    EXPECT_LE(schedule.times().response_timeout + schedule.RetryDelay(1),
-              1000);  // of the 2,500 that there are
+    // Of 2,500 ms in all.
+    EXPECT_LE(schedule.times().response_timeout + schedule.RetryDelay(1), 1000);
   }
 }
 
-// Gateways that start together must not all ask again together: discovery works through calls in turn.
+// Guards against synchronized calls of gateways that start together: discovery serves its calls one by one.
 TEST(WatchSchedule, CallsOfGatewaysStartedTogetherAreSpreadOverTheWait) {
   std::mt19937 random(3);
   std::map<int, int> calls_by_second;
@@ -51,6 +53,7 @@
   EXPECT_LE(longest, 1.5 * 5000 + 600);
 }
 
+// Guards against calls that an overloaded discovery can never answer in time.
 TEST(WatchSchedule, ResponseTimeoutGrowsWithConsecutiveTimeouts) {
   WatchSchedule schedule(41);
   Millis last = 0;
@@ -61,28 +64,28 @@
     last = schedule.ResponseTimeout();
   }
   EXPECT_EQ(last, schedule.times().mean_recovery_wait + schedule.times().max_response_timeout);
-  schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503");  // it answers
+  schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503");  // a response, so no time-out
   schedule.BeginCall(0.5);
   EXPECT_NEAR(schedule.ResponseTimeout(),
               schedule.times().mean_recovery_wait + schedule.times().response_timeout, 100);
 }
 
-// News wake all watches at once; what they ask next stands in a line, and the line's length is told by what
-// waited in it.
+// Guards against a queue at discovery after each change: a change ends all watches at once, and the next
+// calls have to be spread over the time that earlier calls were queued.
 TEST(WatchSchedule, DelayAfterUpdateFollowsQueueDelay) {
   WatchSchedule schedule(41);
   schedule.BeginCall(0.5);
   schedule.RecordSuccess(5002, false);
-  EXPECT_LT(schedule.NextCallDelay(1), 10);  // nobody stands in line
+  EXPECT_LT(schedule.NextCallDelay(1), 10);  // no queue
   for (int i = 0; i < 20; ++i) {
     schedule.BeginCall(0.5);
-    schedule.RecordFailure(WatchFailure::kErrorStatus, 2000, "503");  // stood there for 2 s in vain
+    schedule.RecordFailure(WatchFailure::kErrorStatus, 2000, "503");  // queued for 2 s in vain
   }
   EXPECT_EQ(schedule.NextCallDelay(1), schedule.times().max_call_delay);
   EXPECT_EQ(schedule.NextCallDelay(0.25), schedule.times().max_call_delay / 4);
   schedule.BeginCall(0.5);
-  EXPECT_GT(schedule.ResponseTimeout(),
-            schedule.times().mean_recovery_wait + 2000);  // nor is a call given up while it stands there
+  // The time-out allows for the queue.
+  EXPECT_GT(schedule.ResponseTimeout(), schedule.times().mean_recovery_wait + 2000);
   for (int i = 0; i < 40; ++i) {
     schedule.BeginCall(0.5);
     schedule.RecordSuccess(i == 0 ? 100 : 5001, i == 0);
@@ -90,9 +93,9 @@
   EXPECT_LT(schedule.NextCallDelay(1), 10);
 }
 
-// A drain that was sent and could not be read, or that a silent watch missed, counts as told: it can't wait
-// for a gap. Seen on a bad day: a watch fell silent, the next answer broke off, and the one after it came 4 s
-// later.
+// Guards against a late drain: discovery counts it as known once it was sent, even if the response was lost
+// or could not be read, so the retry cannot wait for the retry delay. Otherwise a time-out followed by a
+// truncated response delays the next list by 4 s.
 TEST(WatchSchedule, PossiblyLostUpdateIsRetriedImmediatelyABoundedNumberOfTimes) {
   WatchSchedule schedule(41);
   schedule.RecordFailure(WatchFailure::kTimeout, 5600, "");
@@ -108,7 +111,8 @@
   EXPECT_TRUE(schedule.ShouldRetryImmediately(WatchFailure::kMalformed));
 }
 
-// All watches end together, or a line is full: who is next the policy says, or all would call at once.
+// Guards against all gateways calling at the same moment: these failures hit all watches together, for
+// example when discovery restarts or its queue is full, so the policy decides when to call again.
 TEST(WatchSchedule, FailuresSharedByAllGatewaysAreNotRetriedImmediately) {
   for (const WatchFailure failure : {WatchFailure::kConnectFailed, WatchFailure::kClosed,
                                      WatchFailure::kErrorStatus, WatchFailure::kStaleRevision}) {
@@ -127,29 +131,31 @@
   EXPECT_EQ(schedule.RetryDelay(1), 1.5 * schedule.times().max_retry_delay);
 }
 
-// A lagging copy's list would bring back hosts that drain.
+// Guards against the list of a lagging replica, which would bring back hosts that drain.
 TEST(WatchSchedule, ListWithLowerRevisionIsRejected) {
   WatchSchedule schedule(41);
   EXPECT_FALSE(schedule.AcceptList(CompleteList(40)));
   EXPECT_FALSE(schedule.AcceptList(DeltaList(40)));
   EXPECT_EQ(schedule.revision(), 41);
-  EXPECT_EQ(schedule.BeginCall(0.5),
-            "/discovery/hosts");  // whether it has begun anew only a whole list can tell
+  // Only a complete list can show whether discovery has restarted its revisions.
+  EXPECT_EQ(schedule.BeginCall(0.5), "/discovery/hosts");
   EXPECT_TRUE(schedule.AcceptList(CompleteList(41)));
   EXPECT_TRUE(schedule.AcceptList(DeltaList(43)));
   EXPECT_EQ(schedule.revision(), 43);
 }
 
+// Guards against rejecting all lists for ever once discovery has restarted its revisions.
 TEST(WatchSchedule, RestartedRevisionsAreAcceptedAfterSeveralCompleteLists) {
   WatchSchedule schedule(41);
   EXPECT_FALSE(schedule.AcceptList(CompleteList(3)));
-  EXPECT_FALSE(schedule.AcceptList(DeltaList(4)));     // of what?
-  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));  // not even later than the one before it
+  EXPECT_FALSE(schedule.AcceptList(DeltaList(4)));     // a delta proves nothing
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));  // lower than the one before: counted anew
   EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));
   EXPECT_TRUE(schedule.AcceptList(CompleteList(4)));
   EXPECT_EQ(schedule.revision(), 4);
 }
 
+// Guards against a log that fills up during an outage.
 TEST(WatchSchedule, ConsecutiveFailuresAreLoggedOnceAndRecoveryOnce) {
   WatchSchedule schedule(41);
   EXPECT_EQ(schedule.RecordFailure(WatchFailure::kErrorStatus, 30, "503"),
@@ -160,7 +166,7 @@
   EXPECT_FALSE(schedule.RecordSuccess(5000, false));
 }
 
-// Whatever comes, in any order: bounds hold, and the revision falls only by whole lists that agree.
+// Under any sequence of results all times stay in their bounds, and only complete lists lower the revision.
 TEST(WatchSchedule, TimesStayInBoundsUnderRandomResults) {
   std::mt19937 random(11);
   WatchSchedule schedule;
@@ -190,7 +196,7 @@
 constexpr char kDrainingHost[] =
     R"({"revision":42,"complete":false,"members":[{"id":"h0","host_port":"127.0.0.1:1","phase":"draining"}]})";
 
-// Discovery as a scripted peer; a failed watch begins anew at once.
+// A Discovery client and a scripted discovery service. A watch that has failed is restarted at once.
 struct DiscoveryFixture {
   explicit DiscoveryFixture(const WatchTimes& times = ShortTimes())
       : discovery(io, peer.address(), 41,
@@ -203,20 +209,23 @@
                   1, times) {
     discovery.Watch();
   }
-  // For silence alone, and that of the first call alone: what follows a failure is waited for.
+  // Short times for the time-out of the first call only; calls after a failure get long ones.
   static WatchTimes ShortTimes() {
     WatchTimes times;
-    times.mean_wait = 200, times.response_timeout = 300,
-    times.mean_recovery_wait = times.body_timeout = 600000, times.min_call_interval = 0;
+    times.mean_wait = 200;
+    times.response_timeout = 300;
+    times.mean_recovery_wait = times.body_timeout = 600000;
+    times.min_call_interval = 0;
     return times;
   }
-  // The n-th call, from 0; a broken connection can be told only by the call that follows.
+  // Waits for the n-th call, counted from 0.
   Peer::Taken& AwaitRequest(std::size_t n) {
     EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() > n; })) << "call " << n;
     return peer.requests.at(n);
   }
-  // One bad answer to the first call: nothing of it is believed, the next call goes on from the last good
-  // list, a drain told there is kept, and the operators read two lines.
+  // Answers the first call with `respond_badly` and expects that nothing of it is applied, that the next call
+  // continues from the last good list, that a drain in its response is applied, and that two lines are
+  // logged, the first with `expected_text`.
   void ExpectRecoveryAfter(const std::function<void(Peer::Taken&)>& respond_badly,
                            const std::string& expected_text, bool is_retried_immediately = true) {
     respond_badly(AwaitRequest(0));
@@ -242,7 +251,7 @@
   Discovery discovery;
 };
 
-// Long times where the fault must show by itself: a test that waited for them would fail.
+// Times so long that the failure has to be detected without a time-out: a test that waits for one fails.
 WatchTimes LongTimes() {
   WatchTimes times;
   times.mean_wait = times.mean_recovery_wait = times.response_timeout = times.max_response_timeout =
@@ -255,7 +264,7 @@
   fixture.ExpectRecoveryAfter([](Peer::Taken& call) { call.Answer(503, ""); }, "refuses (503)", false);
 }
 
-// A discovery that goes down ends all watches together: who may call again, and when, the policy says.
+// A discovery that shuts down ends all watches together, so the policy decides when to call again.
 TEST(Discovery, RecoversFromConnectionClosedBeforeResponse) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
@@ -263,7 +272,7 @@
       false);
 }
 
-// The connection ends after this much of an answer.
+// The connection is closed after `text`, the beginning of a response.
 void ExpectRecoveryAfterTruncation(const std::string& text) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
@@ -281,7 +290,7 @@
   ExpectRecoveryAfterTruncation("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
 }
 
-// The head has come: what is left is not waited for as long as news are.
+// Guards against waiting for the rest of a begun response as long as for a change.
 TEST(Discovery, RecoversFromStalledBody) {
   WatchTimes times = LongTimes();
   times.body_timeout = 1000;
@@ -299,7 +308,7 @@
                               "can't be read");
 }
 
-// All of the list is refused: half a list would leave out hosts, or keep some that drain.
+// Guards against partly applied lists, which would lack hosts or keep some that drain.
 TEST(Discovery, RejectsListWithOneMalformedEntry) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
@@ -327,7 +336,7 @@
   EXPECT_NE(fixture.log_lines.at(0).find("older than the one known (40)"), std::string::npos);
 }
 
-// Refused dials neither end the watch nor fill the log.
+// Guards against a watch that ends, or a log that fills up, while connections are refused.
 TEST(Discovery, RecoversFromLongOutageWithTwoLogLines) {
   DiscoveryFixture fixture(LongTimes());
   fixture.AwaitRequest(0);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// One node in several pools, and lists of hosts that are kept in files.
+// Drains of nodes that belong to several pools, and host lists read from files.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -27,7 +27,7 @@
 HostList CompleteList(std::vector<Host> hosts) { return {0, true, std::move(hosts)}; }
 HostList DeltaList(std::vector<Host> hosts) { return {0, false, std::move(hosts)}; }
 
-// What the news say of a node in a pool; nothing if they don't name it.
+// The state that `updates` give for a node in a pool; nothing if they don't list it.
 std::optional<ServerState> UpdatedState(const std::vector<NodeRegistry::PoolUpdate>& updates,
                                         std::uint64_t pool, const std::string& id) {
   for (const auto& update : updates) {
@@ -47,11 +47,12 @@
   const auto updates = registry.ApplyUpdate(1, DeltaList({MakeHost("n", ServerState::kDraining)}), 100);
   EXPECT_EQ(UpdatedState(updates, 1, "n"), ServerState::kDraining);
   EXPECT_EQ(UpdatedState(updates, 2, "n"), ServerState::kDraining);
-  EXPECT_EQ(updates.size(), 2u);  // the third does not list it
+  EXPECT_EQ(updates.size(), 2u);  // pool 3 does not list it
   EXPECT_EQ(registry.drains().at("n").since, 100);
   EXPECT_EQ(registry.drains().at("n").first_reported_by, 1u);
 }
 
+// Guards against new requests to a drained node through a pool whose source lags behind.
 TEST(NodeRegistry, StaleListOfAnotherPoolDoesNotEndDrain) {
   NodeRegistry registry;
   registry.ApplyUpdate(1, CompleteList({MakeHost("n")}), 0);
@@ -62,9 +63,9 @@
   registry.ApplyUpdate(1, DeltaList({MakeHost("n", ServerState::kGone)}), 3000);
   EXPECT_EQ(UpdatedState(registry.ApplyUpdate(2, CompleteList({MakeHost("n")}), 4000), 2, "n"),
             ServerState::kDraining);
-  EXPECT_EQ(registry.drains().at("n").since, 100);  // the instant of the first word
+  EXPECT_EQ(registry.drains().at("n").since, 100);  // the time of the first report
   registry.ApplyUpdate(2, CompleteList({}), 5100);
-  EXPECT_TRUE(registry.drains().empty());  // nobody lists it any more
+  EXPECT_TRUE(registry.drains().empty());  // no pool lists it any more
 }
 
 TEST(NodeRegistry, DrainEndsByItsReporterOrANewProcess) {
@@ -76,11 +77,12 @@
   EXPECT_EQ(UpdatedState(updates, 2, "n"), ServerState::kUp);
   registry.ApplyUpdate(1, DeltaList({MakeHost("n", ServerState::kDraining, 50)}), 300);
   updates = registry.ApplyUpdate(2, DeltaList({MakeHost("n", ServerState::kUp, 400)}), 500);
-  EXPECT_EQ(UpdatedState(updates, 1, "n"), ServerState::kDraining);  // its own source says so still
+  EXPECT_EQ(UpdatedState(updates, 1, "n"), ServerState::kDraining);  // its own source still reports the drain
   EXPECT_EQ(UpdatedState(updates, 2, "n"), ServerState::kUp);
   EXPECT_TRUE(registry.drains().empty());
 }
 
+// Guards against a drain that no source can end any more.
 TEST(NodeRegistry, RemovedPoolDoesNotLeaveDrainsForever) {
   NodeRegistry registry;
   registry.ApplyUpdate(1, CompleteList({MakeHost("n")}), 0);
@@ -117,7 +119,8 @@
   EXPECT_TRUE(gateway::ReadHostFile("{\"members\":[],\"empty\":true}", error)) << error;
 }
 
-// Guards against a list that is read while it is written: the last good one stays, and each fault is told.
+// Guards against applying a list that is read while it is being written: the last good one stays, and each
+// failure is logged and reported.
 TEST(HostFile, LastGoodListStaysThroughIncompleteAndEmptyFiles) {
   asio::io_context io;
   const std::string path = ::testing::TempDir() + "forkwick-hosts-" + std::to_string(getpid()) + ".json";
