--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -11,12 +11,12 @@
 // Never runs backwards, as the policy demands, and a host's up_since_ms needs no further conversion: the
 // shift stays the same, for a start that moved a little between two lists would look like a restart.
 inline Millis Now() {
-  const auto since = [](auto time) {
+  const auto to_ms = [](auto time) {
     return std::chrono::duration<double, std::milli>(time.time_since_epoch()).count();
   };
-  static const Millis shift =
-      since(std::chrono::system_clock::now()) - since(std::chrono::steady_clock::now());
-  return since(std::chrono::steady_clock::now()) + shift;
+  static const Millis offset =
+      to_ms(std::chrono::system_clock::now()) - to_ms(std::chrono::steady_clock::now());
+  return to_ms(std::chrono::steady_clock::now()) + offset;
 }
 
 // A span for asio's timers, which take no fractions.
--- a/src/base/file_watcher.hpp
+++ b/src/base/file_watcher.hpp
@@ -17,30 +17,30 @@
  public:
   // `changed` is called from the loop, never from the constructor. inotify tells at once; where it can't
   // (some network file systems, no more watches to be had), a look every half second does.
-  FileWatcher(boost::asio::io_context& io, std::string path, std::function<void()> changed);
+  FileWatcher(boost::asio::io_context& io, std::string path, std::function<void()> on_change);
   ~FileWatcher();
   FileWatcher(const FileWatcher&) = delete;
   FileWatcher& operator=(const FileWatcher&) = delete;
 
  private:
   // What stat tells of the file: a changed one differs in some part.
-  using Mark = std::array<long long, 5>;
-  Mark Look() const;
-  void Check();
-  void Wait();
-  void Poll();
+  using FileStatus = std::array<long long, 5>;
+  FileStatus ReadStatus() const;
+  void CheckForChange();
+  void WaitForEvent();
+  void SchedulePoll();
 
   const std::string path_;
-  const std::function<void()> changed_;
-  boost::asio::posix::stream_descriptor events_;
-  boost::asio::steady_timer poll_;
-  Mark seen_;
+  const std::function<void()> on_change_;
+  boost::asio::posix::stream_descriptor inotify_events_;
+  boost::asio::steady_timer poll_timer_;
+  FileStatus last_status_;
   std::array<char, 4096> buffer_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
 // The whole of a file; false if it can't be read or is longer than `most` bytes.
-bool ReadFile(const std::string& path, std::size_t most, std::string& text);
+bool ReadFile(const std::string& path, std::size_t max_bytes, std::string& text);
 
 }  // namespace opalswitch::gateway
 
--- a/src/base/http_types.hpp
+++ b/src/base/http_types.hpp
@@ -56,9 +56,10 @@
   const auto value = message[boost::beast::http::field::connection];
   if (value.empty() || iequals(value, "keep-alive") || iequals(value, "close")) return names;
   for (const auto name : boost::beast::http::token_list(value)) {
-    const bool kept = iequals(name, "Host") || iequals(name, "Content-Length") || iequals(name, "Req-Id") ||
-                      iequals(name, "Idempotency-Key") || iequals(name, "Srv-Load");
-    if (!kept) names.emplace_back(name);
+    const bool is_essential = iequals(name, "Host") || iequals(name, "Content-Length") ||
+                              iequals(name, "Req-Id") || iequals(name, "Idempotency-Key") ||
+                              iequals(name, "Srv-Load");
+    if (!is_essential) names.emplace_back(name);
   }
   return names;
 }
@@ -87,8 +88,9 @@
   for (const char c : head[field::content_length]) {
     if (c < '0' || c > '9') return Framing::kAmbiguous;
   }
-  const bool plain = codings == 0 || boost::beast::iequals(head[field::transfer_encoding], "chunked");
-  return lengths + codings == 1 && plain ? Framing::kDelimited : Framing::kAmbiguous;
+  const bool is_chunked_or_absent =
+      codings == 0 || boost::beast::iequals(head[field::transfer_encoding], "chunked");
+  return lengths + codings == 1 && is_chunked_or_absent ? Framing::kDelimited : Framing::kAmbiguous;
 }
 
 }  // namespace opalswitch::gateway
--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -33,9 +33,9 @@
 HttpServerLimits LimitsFor(std::size_t configured, double memory_mb) {
   HttpServerLimits limits;
   const std::size_t usable = Usable(configured), hosts = HostSockets(configured);
-  limits.sessions = usable > hosts ? usable - hosts : 1;
-  limits.usual = static_cast<std::size_t>(static_cast<double>(configured) * kUsualShare);
-  limits.body_bytes = static_cast<std::uint64_t>(std::max(1.0, memory_mb * kBodyShare) * (1 << 20));
+  limits.max_connections = usable > hosts ? usable - hosts : 1;
+  limits.idle_eviction_threshold = static_cast<std::size_t>(static_cast<double>(configured) * kUsualShare);
+  limits.max_body_bytes = static_cast<std::uint64_t>(std::max(1.0, memory_mb * kBodyShare) * (1 << 20));
   return limits;
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -39,9 +39,9 @@
                  config.seed),
       clients_(io, LimitsFor(config.sockets, config.memory_mb),
                {[this] { return pool_->has_hosts() && !stop_.begun(); },
-                [this, classes = PlatformClasses(config.settings)](
-                    const HttpRequest& head, const routing::Target& target, const RequestOrigin&,
-                    ClientRequest& call) {
+                [this, classes = ClassEffectsOf(config.settings)](const HttpRequest& head,
+                                                                  const routing::Target& target,
+                                                                  const RequestOrigin&, ClientRequest& call) {
                   call.pool = pool_;
                   return ReadPlatformRequest(classes, head, target, call);
                 }},
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -31,7 +31,7 @@
 // Idle connections are closed for want of places alone: no front counts them here, as the platform's does.
 HttpServerLimits LimitsOf(const config::Services& services) {
   HttpServerLimits limits = LimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
-  limits.usual = limits.sessions;
+  limits.idle_eviction_threshold = limits.max_connections;
   return limits;
 }
 
@@ -110,8 +110,8 @@
       }) {
   const HttpServerLimits limits = LimitsOf(*services);
   places_.Resize(std::max<std::uint64_t>(
-      1, static_cast<std::uint64_t>(static_cast<double>(limits.sessions) * kPlacesPart)));
-  bodies_.Resize(limits.body_bytes);
+      1, static_cast<std::uint64_t>(static_cast<double>(limits.max_connections) * kPlacesPart)));
+  bodies_.Resize(limits.max_body_bytes);
   snapshot_ = std::make_shared<Snapshot>();
   if (const auto error = Reload(std::move(services))) throw std::runtime_error(*error);
 }
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -23,12 +23,12 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Millis kSweepEvery = 200;
-constexpr std::size_t kMostBuffer = 24 * 1024;      // holds a whole head; bodies pass through it
-constexpr std::size_t kKeptBuffer = 4096;           // what a connection between requests may hold on to
-constexpr std::size_t kMostDiscarded = 256 * 1024;  // read from a client that was told of the close
-constexpr Millis kNoMemoryWait = 1000;              // advice where no memory is left for a body
-constexpr Millis kAcceptAgain = 50;                 // after an accept that failed, out of descriptors perhaps
+constexpr Millis kTimeoutCheckIntervalMs = 200;
+constexpr std::size_t kMaxReadBufferBytes = 24 * 1024;  // holds a whole head; bodies pass through it
+constexpr std::size_t kMaxIdleBufferBytes = 4096;       // what a connection between requests may hold on to
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // read from a client that was told of the close
+constexpr Millis kNoMemoryRetryAfterMs = 1000;          // advice where no memory is left for a body
+constexpr Millis kAcceptRetryDelayMs = 50;  // after an accept that failed, out of descriptors perhaps
 
 // A message that breaks HTTP, as opposed to a connection that ended.
 bool IsMalformed(error_code ec) {
@@ -50,30 +50,31 @@
     if (!ec) origin_.client = peer.address();
   }
 
-  void Begin() {
+  void Start() {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    ReadHead();
+    ReadHeader();
   }
 
   // Between requests, with nothing unread: may be closed without losing anything that was taken.
-  bool Idle() {
+  bool IsIdle() {
     error_code ec;
-    return phase_ == Phase::kReading && !Begun() && socket_.available(ec) == 0;
+    return phase_ == Phase::kReading && !HasPartialRequest() && socket_.available(ec) == 0;
   }
-  Millis since() const { return since_; }
+  Millis phase_started_at() const { return phase_started_at_; }
 
   // Which to close first where places have run out; kKept may not be closed. One that has just connected gets
   // a moment for its first request to arrive: closed at once, it would only connect again.
-  Standing standing(Millis now) const {
-    if (phase_ == Phase::kLingering) return Standing::kTold;
-    if (phase_ != Phase::kReading || (Begun() && answered_ > 0)) return Standing::kKept;
-    if (answered_ > 0) return Standing::kBetween;
-    if (now - since_ < server_.limits_.arrival) return Standing::kNew;
-    return Begun() ? Standing::kHalfRequest : Standing::kSilent;
+  EvictionPriority eviction_priority(Millis now) const {
+    if (phase_ == Phase::kLingering) return EvictionPriority::kLingering;
+    if (phase_ != Phase::kReading || (HasPartialRequest() && responses_sent_ > 0))
+      return EvictionPriority::kNotEvictable;
+    if (responses_sent_ > 0) return EvictionPriority::kIdle;
+    if (now - phase_started_at_ < server_.limits_.new_connection_grace) return EvictionPriority::kNew;
+    return HasPartialRequest() ? EvictionPriority::kPartialRequest : EvictionPriority::kNoRequest;
   }
   // Nothing that the client has sent whole may lie unread in the socket.
-  bool MayEvict() {
+  bool IsEvictable() {
     error_code ec;
     return phase_ == Phase::kLingering || (phase_ == Phase::kReading && socket_.available(ec) == 0);
   }
@@ -82,191 +83,200 @@
     if (std::exchange(phase_, Phase::kClosed) == Phase::kClosed) return;
     error_code ignored;
     socket_.close(ignored);
-    Release();
-    server_.Closed(shared_from_this());
+    ReleaseReservations();
+    server_.OnSessionClosed(shared_from_this());
   }
 
   // Ends what has stood still for too long.
-  void Sweep(Millis now) {
+  void CheckTimeouts(Millis now) {
     const HttpServerLimits& limits = server_.limits_;
     if (phase_ == Phase::kReading) {
-      if (Begun() && begun_at_ == 0) begun_at_ = answered_ == 0 ? since_ : now;
-      if (begun_at_ > 0 && now - begun_at_ > limits.whole_request) {
-        return Refuse({http::status::request_timeout, "the request is not whole"});
+      if (HasPartialRequest() && request_started_at_ == 0)
+        request_started_at_ = responses_sent_ == 0 ? phase_started_at_ : now;
+      if (request_started_at_ > 0 && now - request_started_at_ > limits.request_timeout) {
+        return RespondAndClose({http::status::request_timeout, "the request is not whole"});
       }
-      if (now - since_ > (answered_ == 0 ? limits.first_request : limits.idle) && Idle()) Close();
-    } else if ((phase_ == Phase::kWriting && now - since_ > limits.answer_read) ||
-               (phase_ == Phase::kLingering && now - since_ > limits.linger)) {
+      if (now - phase_started_at_ >
+              (responses_sent_ == 0 ? limits.first_request_timeout : limits.idle_timeout) &&
+          IsIdle())
+        Close();
+    } else if ((phase_ == Phase::kWriting && now - phase_started_at_ > limits.write_timeout) ||
+               (phase_ == Phase::kLingering && now - phase_started_at_ > limits.linger_timeout)) {
       Close();
     }
   }
 
  private:
-  enum class Phase { kReading, kWaiting, kWriting, kLingering, kClosed };
+  enum class Phase { kReading, kAwaitingResponse, kWriting, kLingering, kClosed };
 
-  void Enter(Phase phase) {
+  void EnterPhase(Phase phase) {
     phase_ = phase;
-    since_ = Now();
-    begun_at_ = 0;
+    phase_started_at_ = Now();
+    request_started_at_ = 0;
   }
 
-  bool Begun() const { return buffer_.size() > 0 || parser_->got_some(); }
+  bool HasPartialRequest() const { return buffer_.size() > 0 || parser_->got_some(); }
 
-  void ReadHead() {
+  void ReadHeader() {
     parser_.emplace();
     parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // its head decides
     parser_->header_limit(kMaxHeaderBytes);
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](error_code ec, std::size_t) {
-                              if (self->phase_ == Phase::kReading) self->HeadRead(ec);
+                              if (self->phase_ == Phase::kReading) self->OnHeaderRead(ec);
                             });
   }
 
   // Meanwhile what the client sends waits in its socket.
-  void ReadAfter(Millis pause) {
+  void ReadHeaderAfter(Millis pause) {
     const auto timer = std::make_shared<asio::steady_timer>(server_.io_, ToDuration(pause));
-    timer->async_wait([self = shared_from_this(), timer, turn = turn_](error_code) {
-      if (self->phase_ == Phase::kReading && self->turn_ == turn) self->ReadHead();
+    timer->async_wait([self = shared_from_this(), timer, request_number = request_number_](error_code) {
+      if (self->phase_ == Phase::kReading && self->request_number_ == request_number) self->ReadHeader();
     });
   }
 
   // All that the head can decide is decided before the body is read: what is turned away takes no memory.
-  void HeadRead(error_code ec) {
-    if (ec) return Unreadable(ec);
+  void OnHeaderRead(error_code ec) {
+    if (ec) return HandleReadError(ec);
     const HttpRequest& head = parser_->get();
-    if (const auto fault = ValidateMessage(head, target_)) return Refuse(*fault);
-    ClientRequest& call = call_.emplace();
-    health_ = !server_.health_.empty() && target_.path == server_.health_ && head.method() == http::verb::get;
-    if (!health_) {
-      const auto fault = server_.handlers_.admit(head, target_, origin_, call);
-      pacer_ = call.read_throttle;
-      if (fault) {
-        if (!fault->keep_connection || !parser_->is_done()) return Refuse(*fault);
+    if (const auto reply = ValidateMessage(head, target_)) return RespondAndClose(*reply);
+    ClientRequest& request = request_.emplace();
+    is_health_check_ = !server_.health_path_.empty() && target_.path == server_.health_path_ &&
+                       head.method() == http::verb::get;
+    if (!is_health_check_) {
+      const auto reply = server_.handlers_.admit(head, target_, origin_, request);
+      read_throttle_ = request.read_throttle;
+      if (reply) {
+        if (!reply->keep_connection || !parser_->is_done()) return RespondAndClose(*reply);
         keep_alive_ = head.keep_alive();
-        version_ = head.version();
-        return Answer(ToAnswer(*fault));
+        http_version_ = head.version();
+        return SendResponse(ToResponse(*reply));
       }
     }
-    if (parser_->is_done()) return Take();
+    if (parser_->is_done()) return SubmitRequest();
     const auto length = parser_->content_length();
-    if (length && *length > call.max_body_bytes) return Unreadable(http::error::body_limit);
-    const std::uint64_t room = length ? *length : call.max_body_bytes;
-    if (!server_.Reserve(room, reserved_) || (call.reserve_body && !call.reserve_body(room))) {
-      return Refuse(
-          {http::status::service_unavailable, "no memory for the body", kNoMemoryWait, {}, "memory"});
+    if (length && *length > request.max_body_bytes) return HandleReadError(http::error::body_limit);
+    const std::uint64_t body_bytes = length ? *length : request.max_body_bytes;
+    if (!server_.ReserveBody(body_bytes, reserved_body_bytes_) ||
+        (request.reserve_body && !request.reserve_body(body_bytes))) {
+      return RespondAndClose(
+          {http::status::service_unavailable, "no memory for the body", kNoMemoryRetryAfterMs, {}, "memory"});
     }
-    parser_->body_limit(call.max_body_bytes);
+    parser_->body_limit(request.max_body_bytes);
     http::async_read(socket_, buffer_, *parser_,
                      [self = shared_from_this()](error_code body_ec, std::size_t) {
                        if (self->phase_ != Phase::kReading) return;
-                       body_ec ? self->Unreadable(body_ec) : self->Take();
+                       body_ec ? self->HandleReadError(body_ec) : self->SubmitRequest();
                      });
   }
 
-  void Unreadable(error_code ec) {
+  void HandleReadError(error_code ec) {
     if (!IsMalformed(ec)) return Close();
-    const bool large = ec == http::error::body_limit;
-    const bool header = ec == http::error::header_limit || ec == http::error::buffer_overflow;
-    Refuse({large    ? http::status::payload_too_large
-            : header ? http::status::request_header_fields_too_large
-                     : http::status::bad_request,
-            ec.message()});
+    const bool is_body_too_large = ec == http::error::body_limit;
+    const bool is_header_too_large = ec == http::error::header_limit || ec == http::error::buffer_overflow;
+    RespondAndClose({is_body_too_large     ? http::status::payload_too_large
+                     : is_header_too_large ? http::status::request_header_fields_too_large
+                                           : http::status::bad_request,
+                     ec.message()});
   }
 
-  void Take() {
+  void SubmitRequest() {
     HttpRequest http = parser_->release();
     keep_alive_ = http.keep_alive();
-    version_ = http.version();
-    const Millis at = std::exchange(came_at_, 0);
-    if (health_) {
-      const bool ready = server_.handlers_.ready();
-      return Answer(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11));
+    http_version_ = http.version();
+    const Millis buffered_at = std::exchange(next_request_received_at_, 0);
+    if (is_health_check_) {
+      const bool ready = server_.handlers_.is_ready();
+      return SendResponse(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11));
     }
     NormalizeRequest(http, target_);
-    head_ = http.method() == http::verb::head;
-    ClientRequest& call = *call_;
-    call.http = std::move(http);
-    call.received = at > 0 ? at : Now();
-    call.respond = [weak = weak_from_this(), turn = ++turn_](HttpResponse response) {
+    is_head_request_ = http.method() == http::verb::head;
+    ClientRequest& request = *request_;
+    request.http = std::move(http);
+    request.received = buffered_at > 0 ? buffered_at : Now();
+    request.respond = [weak = weak_from_this(), request_number = ++request_number_](HttpResponse response) {
       const auto self = weak.lock();
-      if (self && self->turn_ == turn && self->phase_ == Phase::kWaiting) self->Answer(std::move(response));
+      if (self && self->request_number_ == request_number && self->phase_ == Phase::kAwaitingResponse)
+        self->SendResponse(std::move(response));
     };
-    id_ = call.id;
-    pool_ = call.pool;
-    Enter(Phase::kWaiting);
+    request_id_ = request.id;
+    pool_ = request.pool;
+    EnterPhase(Phase::kAwaitingResponse);
     if (buffer_.size() > 0) {
-      came_at_ = call.received;  // with the one before it
+      next_request_received_at_ = request.received;  // with the one before it
     } else {
-      WatchForLeaving();
+      WatchForDisconnect();
     }
     const auto pool = pool_;  // the answer may come at once, and the pool be let go with it
-    ClientRequest taken = std::move(*call_);
-    call_.reset();
-    pool->Submit(std::move(taken));
+    ClientRequest submitted = std::move(*request_);
+    request_.reset();
+    pool->Submit(std::move(submitted));
   }
 
   // Nothing is read while a request is out: whoever sends on waits in its own socket, and takes no memory
   // here.
-  void WatchForLeaving() {
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), turn = turn_](error_code ec) {
-      if (self->phase_ != Phase::kWaiting || self->turn_ != turn) return;
-      if (!ec && self->socket_.available(ec) > 0 && !ec) {
-        self->came_at_ = Now();
-        return;
-      }
-      const auto pool = self->pool_;
-      self->Close();  // its request is told off after the connection is forgotten
-      pool->ClientDisconnected(self->id_);
-    });
+  void WatchForDisconnect() {
+    socket_.async_wait(
+        tcp::socket::wait_read, [self = shared_from_this(), request_number = request_number_](error_code ec) {
+          if (self->phase_ != Phase::kAwaitingResponse || self->request_number_ != request_number) return;
+          if (!ec && self->socket_.available(ec) > 0 && !ec) {
+            self->next_request_received_at_ = Now();
+            return;
+          }
+          const auto pool = self->pool_;
+          self->Close();  // its request is told off after the connection is forgotten
+          pool->ClientDisconnected(self->request_id_);
+        });
   }
 
   // Whoever broke the protocol once has no place to go on from: what follows could be anything.
-  void Refuse(const LocalReply& fault) {
-    HttpResponse response = ToAnswer(fault);
+  void RespondAndClose(const LocalReply& reply) {
+    HttpResponse response = ToResponse(reply);
     response.keep_alive(false);
-    Answer(std::move(response));
+    SendResponse(std::move(response));
   }
 
-  static HttpResponse ToAnswer(const LocalReply& fault) {
-    HttpResponse response(fault.status, 11);
+  static HttpResponse ToResponse(const LocalReply& reply) {
+    HttpResponse response(reply.status, 11);
     response.set(http::field::content_type, "text/plain");
-    if (!fault.allow.empty()) response.set(http::field::allow, fault.allow);
-    if (fault.retry_after > 0) {
-      response.set(http::field::retry_after, FormatRetryAfterSeconds(fault.retry_after));
+    if (!reply.allow.empty()) response.set(http::field::allow, reply.allow);
+    if (reply.retry_after > 0) {
+      response.set(http::field::retry_after, FormatRetryAfterSeconds(reply.retry_after));
     }
-    if (!fault.cause.empty()) response.set(kCauseHeader, fault.cause);
-    response.body() = fault.text + "\n";
+    if (!reply.cause.empty()) response.set(kCauseHeader, reply.cause);
+    response.body() = reply.text + "\n";
     return response;
   }
 
-  void Answer(HttpResponse response) {
-    Enter(Phase::kWriting);
-    Release();
+  void SendResponse(HttpResponse response) {
+    EnterPhase(Phase::kWriting);
+    ReleaseReservations();
     pool_.reset();
     response_ = std::move(response);
-    turned_away_ = response_.result_int() == 429 || response_.result_int() >= 500;
-    if (turned_away_ && server_.handlers_.reports_cause && !server_.handlers_.reports_cause()) {
+    last_response_is_error_ = response_.result_int() == 429 || response_.result_int() >= 500;
+    if (last_response_is_error_ && server_.handlers_.reports_cause && !server_.handlers_.reports_cause()) {
       response_.erase(kCauseHeader);
     }
-    const bool may_stay = response_.keep_alive();
-    response_.version(version_);
+    const bool allows_keep_alive = response_.keep_alive();
+    response_.version(http_version_);
     // In a drain, or with clients waiting for a place, the connection ends here: but not on a request that
     // has been taken in already.
     error_code ec;
-    const bool more = buffer_.size() > 0 || socket_.available(ec) > 0;
-    keep_alive_ = keep_alive_ && may_stay && (more || !(server_.draining_ || server_.Waiting()));
+    const bool has_unread_input = buffer_.size() > 0 || socket_.available(ec) > 0;
+    keep_alive_ = keep_alive_ && allows_keep_alive &&
+                  (has_unread_input || !(server_.is_draining_ || server_.HasWaitingClients()));
     response_.keep_alive(keep_alive_);
-    Frame();
+    PrepareBody();
     http::async_write(socket_, response_, [self = shared_from_this()](error_code write_ec, std::size_t) {
-      if (self->phase_ == Phase::kWriting) self->Written(write_ec);
+      if (self->phase_ == Phase::kWriting) self->OnResponseWritten(write_ec);
     });
   }
 
   // RFC 9110 8.6 and 9.3.2: an answer to HEAD may tell the length of what GET would have got, and has no
   // body; 204 and 304 have none either, and 204 tells no length.
-  void Frame() {
+  void PrepareBody() {
     const http::status status = response_.result();
-    if (!std::exchange(head_, false) && status != http::status::no_content &&
+    if (!std::exchange(is_head_request_, false) && status != http::status::no_content &&
         status != http::status::not_modified) {
       return response_.prepare_payload();
     }
@@ -275,227 +285,238 @@
     if (status == http::status::no_content) response_.erase(http::field::content_length);
   }
 
-  void Written(error_code ec) {
+  void OnResponseWritten(error_code ec) {
     response_ = {};
     if (ec) return Close();
-    if (!keep_alive_) return Linger();
-    ++answered_;
-    Enter(Phase::kReading);
-    if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+    if (!keep_alive_) return LingerAndClose();
+    ++responses_sent_;
+    EnterPhase(Phase::kReading);
+    if (buffer_.size() == 0 && buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
     parser_.emplace();  // Begun() asks it
-    const auto pacer = std::exchange(pacer_, nullptr);
-    const Millis pause = turned_away_ && pacer ? pacer->NextDelay(Now()) : 0;
-    if (pause > 0 && !server_.draining_) {
-      ReadAfter(pause);
+    const auto read_throttle = std::exchange(read_throttle_, nullptr);
+    const Millis pause = last_response_is_error_ && read_throttle ? read_throttle->NextDelay(Now()) : 0;
+    if (pause > 0 && !server_.is_draining_) {
+      ReadHeaderAfter(pause);
     } else {
-      ReadHead();
+      ReadHeader();
     }
-    if (server_.stopped_ && Idle()) return Close();
-    while (server_.Crowded() && server_.Evict(/*idle_only=*/true)) {
+    if (server_.on_drained_ && IsIdle()) return Close();
+    while (server_.ShouldEvictIdle() && server_.EvictConnection(/*idle_only=*/true)) {
     }
   }
 
   // Closing with bytes unread would reset the connection, and could take the answer from the client. But one
   // that goes on sending for long is not worth the reading.
-  void Linger() {
-    Enter(Phase::kLingering);
+  void LingerAndClose() {
+    EnterPhase(Phase::kLingering);
     parser_.reset();
     buffer_ = boost::beast::flat_buffer();
     error_code ec;
     socket_.shutdown(tcp::socket::shutdown_send, ec);
     if (!ec) socket_.non_blocking(true, ec);
     if (ec) return Close();
-    Discard(0);
+    DiscardInput(0);
   }
 
-  void Discard(std::size_t so_far) {
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), so_far](error_code ec) {
+  void DiscardInput(std::size_t discarded) {
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), discarded](error_code ec) {
       if (self->phase_ != Phase::kLingering) return;
       char sink[16384];
-      const std::size_t got = ec ? 0 : self->socket_.read_some(asio::buffer(sink), ec);
-      const bool ended = got == 0 && ec != asio::error::would_block;
-      if (ended || so_far + got > kMostDiscarded) return self->Close();
-      self->Discard(so_far + got);
+      const std::size_t bytes_read = ec ? 0 : self->socket_.read_some(asio::buffer(sink), ec);
+      const bool is_finished = bytes_read == 0 && ec != asio::error::would_block;
+      if (is_finished || discarded + bytes_read > kMaxDiscardedBytes) return self->Close();
+      self->DiscardInput(discarded + bytes_read);
     });
   }
 
   // What its request holds of the memory and of its pool's limits, as far as that is not the pool's by now.
-  void Release() {
-    server_.reserved_ -= std::exchange(reserved_, 0);
-    call_.reset();
+  void ReleaseReservations() {
+    server_.reserved_body_bytes_ -= std::exchange(reserved_body_bytes_, 0);
+    request_.reset();
   }
 
   HttpServer& server_;
   tcp::socket socket_;
-  boost::beast::flat_buffer buffer_{kMostBuffer};
+  boost::beast::flat_buffer buffer_{kMaxReadBufferBytes};
   std::optional<http::request_parser<http::string_body>> parser_;
   HttpResponse response_;
   RequestOrigin origin_;
-  routing::Target target_;                       // of the request that is being read
-  std::optional<ClientRequest> call_;            // the same, from its head until it is taken
-  bool health_ = false;                          // it asks for this gateway's own health
-  bool head_ = false;                            // it is a HEAD request
-  std::shared_ptr<limits::ReadThrottle> pacer_;  // of the pool that it is for
-  bool turned_away_ = false;                     // by the last answer
-  std::string id_;
+  routing::Target target_;                               // of the request that is being read
+  std::optional<ClientRequest> request_;                 // the same, from its head until it is taken
+  bool is_health_check_ = false;                         // it asks for this gateway's own health
+  bool is_head_request_ = false;                         // it is a HEAD request
+  std::shared_ptr<limits::ReadThrottle> read_throttle_;  // of the pool that it is for
+  bool last_response_is_error_ = false;                  // by the last answer
+  std::string request_id_;
   std::shared_ptr<Pool> pool_;  // that has its request
-  std::uint64_t turn_ = 0;
-  std::uint64_t answered_ = 0;
-  std::size_t reserved_ = 0;  // bytes of body that count against the server's
+  std::uint64_t request_number_ = 0;
+  std::uint64_t responses_sent_ = 0;
+  std::size_t reserved_body_bytes_ = 0;  // bytes of body that count against the server's
   Phase phase_ = Phase::kReading;
-  Millis since_ = Now();
-  Millis begun_at_ = 0;  // when a part of a request was first seen
-  Millis came_at_ = 0;   // when the next request was seen behind the one being served
-  unsigned version_ = 11;
+  Millis phase_started_at_ = Now();
+  Millis request_started_at_ = 0;        // when a part of a request was first seen
+  Millis next_request_received_at_ = 0;  // when the next request was seen behind the one being served
+  unsigned http_version_ = 11;
   bool keep_alive_ = true;
 };
 
 // One address that clients connect to.
-struct HttpServer::Door {
-  Door(asio::io_context& io, std::string name, const tcp::endpoint& address)
-      : id(std::move(name)), asked(address), acceptor(io), again(io) {}
+struct HttpServer::Listener {
+  Listener(asio::io_context& io, std::string name, const tcp::endpoint& address)
+      : id(std::move(name)), requested_address(address), acceptor(io), retry_timer(io) {}
   std::string id;
-  const tcp::endpoint asked;  // its port may be 0
+  const tcp::endpoint requested_address;  // its port may be 0
   tcp::acceptor acceptor;
-  asio::steady_timer again;
-  bool accepting = false;
+  asio::steady_timer retry_timer;
+  bool is_accepting = false;
 };
 
 HttpServer::HttpServer(asio::io_context& io, const HttpServerLimits& limits, Handlers handlers,
-                       std::string health)
-    : io_(io), limits_(limits), handlers_(std::move(handlers)), health_(std::move(health)), sweep_(io) {
-  Sweep();
+                       std::string health_path)
+    : io_(io),
+      limits_(limits),
+      handlers_(std::move(handlers)),
+      health_path_(std::move(health_path)),
+      timeout_timer_(io) {
+  CheckTimeouts();
 }
 
 HttpServer::~HttpServer() = default;
 
 tcp::endpoint HttpServer::Listen(const std::string& id, const tcp::endpoint& address) {
-  const auto door = std::make_shared<Door>(io_, id, address);
-  door->acceptor.open(address.protocol());
-  door->acceptor.set_option(tcp::acceptor::reuse_address(true));
-  door->acceptor.non_blocking(true);
-  door->acceptor.bind(address);
-  door->acceptor.listen();
-  doors_.push_back(door);
-  Accept(door);
-  return door->acceptor.local_endpoint();
+  const auto listener = std::make_shared<Listener>(io_, id, address);
+  listener->acceptor.open(address.protocol());
+  listener->acceptor.set_option(tcp::acceptor::reuse_address(true));
+  listener->acceptor.non_blocking(true);
+  listener->acceptor.bind(address);
+  listener->acceptor.listen();
+  listeners_.push_back(listener);
+  Accept(listener);
+  return listener->acceptor.local_endpoint();
 }
 
 tcp::endpoint HttpServer::address(const std::string& id) const {
-  for (const auto& door : doors_) {
-    if (door->id == id) return door->acceptor.local_endpoint();
+  for (const auto& listener : listeners_) {
+    if (listener->id == id) return listener->acceptor.local_endpoint();
   }
   return {};
 }
 
-void HttpServer::Accept(const std::shared_ptr<Door>& door) {
-  if (door->accepting || !door->acceptor.is_open()) return;
-  door->accepting = true;
-  door->acceptor.async_accept([this, door](error_code ec, tcp::socket socket) {
-    if (!door->acceptor.is_open()) return;  // closed, perhaps with this server
-    door->accepting = false;
+void HttpServer::Accept(const std::shared_ptr<Listener>& listener) {
+  if (listener->is_accepting || !listener->acceptor.is_open()) return;
+  listener->is_accepting = true;
+  listener->acceptor.async_accept([this, listener](error_code ec, tcp::socket socket) {
+    if (!listener->acceptor.is_open()) return;  // closed, perhaps with this server
+    listener->is_accepting = false;
     if (!ec) {
-      Accepted(*door, std::move(socket));
+      StartSession(*listener, std::move(socket));
       // With all places taken by requests under way, further clients wait in the kernel's queue.
-      if (!Full() || Evict()) Accept(door);
+      if (!IsFull() || EvictConnection()) Accept(listener);
       return;
     }
-    if (ec == asio::error::no_descriptors) Evict();
-    door->again.expires_after(ToDuration(kAcceptAgain));  // at once would spin
-    door->again.async_wait([this, door](error_code wait_ec) {
-      if (!wait_ec && door->acceptor.is_open()) Accept(door);
+    if (ec == asio::error::no_descriptors) EvictConnection();
+    listener->retry_timer.expires_after(ToDuration(kAcceptRetryDelayMs));  // at once would spin
+    listener->retry_timer.async_wait([this, listener](error_code wait_ec) {
+      if (!wait_ec && listener->acceptor.is_open()) Accept(listener);
     });
   });
 }
 
-void HttpServer::Accepted(const Door& door, tcp::socket socket) {
-  const auto session = std::make_shared<Session>(*this, door.id, std::move(socket));
+void HttpServer::StartSession(const Listener& listener, tcp::socket socket) {
+  const auto session = std::make_shared<Session>(*this, listener.id, std::move(socket));
   sessions_.insert(session);
-  session->Begin();
+  session->Start();
 }
 
-void HttpServer::Closed(const std::shared_ptr<Session>& session) {
+void HttpServer::OnSessionClosed(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
-  if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
-  if (Full()) return;
-  for (const auto& door : doors_) Accept(door);
+  if (on_drained_ && sessions_.empty()) asio::post(io_, std::exchange(on_drained_, nullptr));
+  if (IsFull()) return;
+  for (const auto& listener : listeners_) Accept(listener);
 }
 
-bool HttpServer::Waiting() const {
-  return Full() && std::any_of(doors_.begin(), doors_.end(),
-                               [](const auto& door) { return !door->accepting && door->acceptor.is_open(); });
+bool HttpServer::HasWaitingClients() const {
+  return IsFull() && std::any_of(listeners_.begin(), listeners_.end(), [](const auto& listener) {
+           return !listener->is_accepting && listener->acceptor.is_open();
+         });
 }
 
 // Connections that clients keep after a request and don't use again count against what they may open: past
 // `usual` they shut further clients out, long before places run out here. In a stop the kept ones are all
 // that clients have left.
-bool HttpServer::Crowded() const { return sessions_.size() > limits_.usual && handlers_.ready(); }
+bool HttpServer::ShouldEvictIdle() const {
+  return sessions_.size() > limits_.idle_eviction_threshold && handlers_.is_ready();
+}
 
 // Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
 // there is still room none is closed that has begun a request, or is about to.
-bool HttpServer::Evict(bool idle_only) {
+bool HttpServer::EvictConnection(bool idle_only) {
   const Millis now = Now();
-  std::shared_ptr<Session> worst;
-  std::pair<Standing, Millis> least;
+  std::shared_ptr<Session> candidate;
+  std::pair<EvictionPriority, Millis> candidate_rank;
   for (const auto& session : sessions_) {
-    const std::pair rank(session->standing(now), session->since());
-    if (rank.first == Standing::kKept || (worst && least <= rank) || !session->MayEvict()) continue;
-    if (idle_only && (rank.first == Standing::kHalfRequest || rank.first == Standing::kNew)) continue;
-    worst = session;
-    least = rank;
+    const std::pair rank(session->eviction_priority(now), session->phase_started_at());
+    if (rank.first == EvictionPriority::kNotEvictable || (candidate && candidate_rank <= rank) ||
+        !session->IsEvictable())
+      continue;
+    if (idle_only &&
+        (rank.first == EvictionPriority::kPartialRequest || rank.first == EvictionPriority::kNew))
+      continue;
+    candidate = session;
+    candidate_rank = rank;
   }
-  if (worst) worst->Close();
-  return worst != nullptr;
+  if (candidate) candidate->Close();
+  return candidate != nullptr;
 }
 
-bool HttpServer::Reserve(std::uint64_t bytes, std::size_t& held) {
-  if (reserved_ + bytes > limits_.body_bytes) return false;
-  held += bytes;
-  reserved_ += bytes;
+bool HttpServer::ReserveBody(std::uint64_t bytes, std::size_t& reserved) {
+  if (reserved_body_bytes_ + bytes > limits_.max_body_bytes) return false;
+  reserved += bytes;
+  reserved_body_bytes_ += bytes;
   return true;
 }
 
-void HttpServer::Sweep() {
+void HttpServer::CheckTimeouts() {
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->Sweep(Now());
-  sweep_.expires_after(ToDuration(kSweepEvery));
-  sweep_.async_wait([this](error_code ec) {
-    if (!ec) Sweep();
+  for (const auto& session : all) session->CheckTimeouts(Now());
+  timeout_timer_.expires_after(ToDuration(kTimeoutCheckIntervalMs));
+  timeout_timer_.async_wait([this](error_code ec) {
+    if (!ec) CheckTimeouts();
   });
 }
 
-void HttpServer::Close(Door& door) {
+void HttpServer::CloseListener(Listener& listener) {
   // Whoever stands in the queue has connected, and may have sent a request: to close on it would lose that.
-  for (error_code ec; !Full();) {
-    tcp::socket socket = door.acceptor.accept(ec);
+  for (error_code ec; !IsFull();) {
+    tcp::socket socket = listener.acceptor.accept(ec);
     if (ec) break;
-    Accepted(door, std::move(socket));
+    StartSession(listener, std::move(socket));
   }
   error_code ignored;
-  door.acceptor.close(ignored);
-  door.again.cancel();
+  listener.acceptor.close(ignored);
+  listener.retry_timer.cancel();
 }
 
-void HttpServer::Unlisten(const std::string& id, const tcp::endpoint& asked) {
-  std::erase_if(doors_, [&](const auto& door) {
-    if (door->id != id || door->asked != asked) return false;
-    Close(*door);
+void HttpServer::Unlisten(const std::string& id, const tcp::endpoint& requested_address) {
+  std::erase_if(listeners_, [&](const auto& listener) {
+    if (listener->id != id || listener->requested_address != requested_address) return false;
+    CloseListener(*listener);
     return true;
   });
 }
 
 void HttpServer::StopListening() {
-  for (const auto& door : doors_) Close(*door);
+  for (const auto& listener : listeners_) CloseListener(*listener);
 }
 
 void HttpServer::Drain(std::function<void()> done) {
-  draining_ = true;
-  stopped_ = std::move(done);
+  is_draining_ = true;
+  on_drained_ = std::move(done);
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) {
-    if (session->Idle()) session->Close();
+    if (session->IsIdle()) session->Close();
   }
-  if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
+  if (on_drained_ && sessions_.empty()) asio::post(io_, std::exchange(on_drained_, nullptr));
 }
 
 }  // namespace opalswitch::gateway
--- a/src/http/http_server.hpp
+++ b/src/http/http_server.hpp
@@ -27,21 +27,21 @@
 };
 
 struct HttpServerLimits {
-  std::size_t sessions = 256;
-  std::size_t usual = 256;              // past it each answer has the longest idle connection closed
-  std::uint64_t body_bytes = 16 << 20;  // that requests may hold together
-  Millis first_request = 2000;          // from connecting: who says nothing by then is closed
-  Millis arrival = 250;                 // of this a new connection is as good as one with a request
-  Millis whole_request = 2000;          // a request that was begun must be whole by then
-  Millis idle = 10000;                  // a connection without a request is closed
-  Millis answer_read = 3000;            // an answer must have been taken in by then
-  Millis linger = 500;                  // a client that was told of the close gets this to close first
+  std::size_t max_connections = 256;
+  std::size_t idle_eviction_threshold = 256;  // past it each answer has the longest idle connection closed
+  std::uint64_t max_body_bytes = 16 << 20;    // that requests may hold together
+  Millis first_request_timeout = 2000;        // from connecting: who says nothing by then is closed
+  Millis new_connection_grace = 250;          // of this a new connection is as good as one with a request
+  Millis request_timeout = 2000;              // a request that was begun must be whole by then
+  Millis idle_timeout = 10000;                // a connection without a request is closed
+  Millis write_timeout = 3000;                // an answer must have been taken in by then
+  Millis linger_timeout = 500;                // a client that was told of the close gets this to close first
 };
 
 class HttpServer {
  public:
   struct Handlers {
-    std::function<bool()> ready;
+    std::function<bool()> is_ready;
     // Decides by its head what becomes of a request: fills in the call, all but its message, its time and its
     // answer, or gives the answer to one that goes no further.
     std::function<std::optional<LocalReply>(const HttpRequest&, const routing::Target&, const RequestOrigin&,
@@ -53,13 +53,13 @@
 
   // `health`: the path by which GET tells whether the gateway is ready; empty = none.
   HttpServer(boost::asio::io_context& io, const HttpServerLimits& limits, Handlers handlers,
-             std::string health);
+             std::string health_path);
   ~HttpServer();
 
   // Listens at once, under a name. Throws boost::system::system_error if it can't.
   boost::asio::ip::tcp::endpoint Listen(const std::string& id, const boost::asio::ip::tcp::endpoint& address);
   // Takes what has connected so far, then closes that listener. Its connections are served on.
-  void Unlisten(const std::string& id, const boost::asio::ip::tcp::endpoint& asked);
+  void Unlisten(const std::string& id, const boost::asio::ip::tcp::endpoint& requested_address);
   boost::asio::ip::tcp::endpoint address(const std::string& id) const;
   std::size_t connections() const { return sessions_.size(); }
 
@@ -72,31 +72,31 @@
  private:
   class Session;
   // The order in which connections are closed where places have run out.
-  enum class Standing { kTold, kSilent, kHalfRequest, kBetween, kNew, kKept };
-  struct Door;
-  void Accept(const std::shared_ptr<Door>& door);
-  void Accepted(const Door& door, boost::asio::ip::tcp::socket socket);
-  void Close(Door& door);
-  void Closed(const std::shared_ptr<Session>& session);
-  bool Full() const { return sessions_.size() >= limits_.sessions; }
+  enum class EvictionPriority { kLingering, kNoRequest, kPartialRequest, kIdle, kNew, kNotEvictable };
+  struct Listener;
+  void Accept(const std::shared_ptr<Listener>& listener);
+  void StartSession(const Listener& listener, boost::asio::ip::tcp::socket socket);
+  void CloseListener(Listener& listener);
+  void OnSessionClosed(const std::shared_ptr<Session>& session);
+  bool IsFull() const { return sessions_.size() >= limits_.max_connections; }
   // Clients stand in the kernel's queue for want of a place.
-  bool Waiting() const;
-  bool Crowded() const;
-  bool Evict(bool idle_only = false);
+  bool HasWaitingClients() const;
+  bool ShouldEvictIdle() const;
+  bool EvictConnection(bool idle_only = false);
   // Counts a body that is to be read; false if there is no room for it.
-  bool Reserve(std::uint64_t bytes, std::size_t& held);
-  void Sweep();
+  bool ReserveBody(std::uint64_t bytes, std::size_t& reserved);
+  void CheckTimeouts();
 
   boost::asio::io_context& io_;
-  std::vector<std::shared_ptr<Door>> doors_;
+  std::vector<std::shared_ptr<Listener>> listeners_;
   const HttpServerLimits limits_;
-  std::uint64_t reserved_ = 0;
+  std::uint64_t reserved_body_bytes_ = 0;
   const Handlers handlers_;
-  const std::string health_;
+  const std::string health_path_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
-  boost::asio::steady_timer sweep_;
-  bool draining_ = false;
-  std::function<void()> stopped_;
+  boost::asio::steady_timer timeout_timer_;
+  bool is_draining_ = false;
+  std::function<void()> on_drained_;
 };
 
 }  // namespace opalswitch::gateway
--- a/src/http/platform_request.hpp
+++ b/src/http/platform_request.hpp
@@ -16,11 +16,11 @@
 namespace opalswitch::gateway {
 
 using ClassEffects = std::unordered_map<std::string, Effect>;
-ClassEffects PlatformClasses(const Settings& settings);
+ClassEffects ClassEffectsOf(const Settings& settings);
 
 // Fills in the call, or gives the answer to a request that breaks the protocol.
 std::optional<LocalReply> ReadPlatformRequest(const ClassEffects& classes, const HttpRequest& head,
-                                              const routing::Target& target, ClientRequest& call);
+                                              const routing::Target& target, ClientRequest& request);
 
 // "480m" or "480000u": milliseconds. Longer ones are cut to ten minutes: timers must not overflow.
 std::optional<Millis> ParseDeadline(std::string_view text);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -575,7 +575,7 @@
 TEST(HttpServer, EndsSilentAndHalfRequests) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
-  limits.first_request = limits.whole_request = 1;
+  limits.first_request_timeout = limits.request_timeout = 1;
   gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client silent(io, at), half(io, at), body(io, at);
@@ -592,9 +592,9 @@
 TEST(HttpServer, EvictsTheSilentBeforeUsualClients) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
-  limits.sessions = 4;
-  limits.first_request = limits.whole_request = limits.idle = 60000;
-  limits.arrival = 0;
+  limits.max_connections = 4;
+  limits.first_request_timeout = limits.request_timeout = limits.idle_timeout = 60000;
+  limits.new_connection_grace = 0;
   gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client usual(io, at);
@@ -618,8 +618,8 @@
 TEST(HttpServer, GivesANewClientAMomentForItsRequest) {
   asio::io_context io;
   gateway::HttpServerLimits limits;
-  limits.sessions = 3;
-  limits.arrival = limits.first_request = limits.idle = 60000;
+  limits.max_connections = 3;
+  limits.new_connection_grace = limits.first_request_timeout = limits.idle_timeout = 60000;
   gateway::HttpServer server(io, limits, {[] { return true; }, AdmitAll}, "/up");
   const tcp::endpoint at = server.Listen("", Loopback());
   Client stayed(io, at);
