--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,4 +1,4 @@
-// The gateway's one clock: the monotonic one, shifted once at the start so that it reads Unix time.
+// The clock of the process: the monotonic clock, offset once at start-up so that it reads Unix time.
 #ifndef OPALSWITCH_BASE_CLOCK_HPP_
 #define OPALSWITCH_BASE_CLOCK_HPP_
 
@@ -8,8 +8,9 @@
 
 namespace opalswitch::gateway {
 
-// Never runs backwards, as the policy demands, and a host's up_since_ms needs no further conversion: the
-// shift stays the same, for a start that moved a little between two lists would look like a restart.
+// Unix time in milliseconds. Never runs backwards, which the policy requires, and is comparable with a host's
+// up_since_ms. The offset stays fixed for the life of the process: if it followed the system clock, start
+// times converted by it could change between two host lists and look like restarts.
 inline Millis Now() {
   const auto to_ms = [](auto time) {
     return std::chrono::duration<double, std::milli>(time.time_since_epoch()).count();
@@ -19,7 +20,7 @@
   return to_ms(std::chrono::steady_clock::now()) + offset;
 }
 
-// A span for asio's timers, which take no fractions.
+// Converts to a duration for asio's timers, which take whole units. Negative times become 0.
 inline std::chrono::microseconds ToDuration(Millis ms) {
   return std::chrono::microseconds(ms > 0 ? static_cast<std::int64_t>(ms * 1000) : 0);
 }
--- a/src/base/endpoint.hpp
+++ b/src/base/endpoint.hpp
@@ -1,4 +1,4 @@
-// Addresses as texts.
+// Conversion of network addresses from and to text.
 #ifndef OPALSWITCH_BASE_ENDPOINT_HPP_
 #define OPALSWITCH_BASE_ENDPOINT_HPP_
 
@@ -8,10 +8,10 @@
 
 namespace opalswitch::gateway {
 
-// "10.1.0.18:3000" or "[::1]:3000"; nothing if it is anything else.
+// Parses "10.1.0.18:3000" or "[::1]:3000". Returns nothing for any other text; host names are not resolved.
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text);
 
-// The same form.
+// Formats an address in the form that ParseEndpoint() reads.
 std::string FormatEndpoint(const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace opalswitch::gateway
--- a/src/base/file_watcher.hpp
+++ b/src/base/file_watcher.hpp
@@ -1,5 +1,5 @@
-// Tells when a file may have changed: its folder is watched, so that a file which is replaced by renaming
-// another over it (or whose symbolic link is turned) is followed like one that is written in place.
+// Detects changes of a file. The file's folder is watched, so that replacing the file by renaming another
+// over it, or changing the target of its symbolic link, is detected as well as writing to it in place.
 #ifndef OPALSWITCH_BASE_FILE_WATCHER_HPP_
 #define OPALSWITCH_BASE_FILE_WATCHER_HPP_
 
@@ -15,15 +15,16 @@
 
 class FileWatcher {
  public:
-  // `changed` is called from the loop, never from the constructor. inotify tells at once; where it can't
-  // (some network file systems, no more watches to be had), a look every half second does.
+  // `on_change` is called on `io`'s thread, never from the constructor, and may destroy this object. Changes
+  // are detected at once by inotify. Where that is not available (some network file systems, or no inotify
+  // watches left), the file's status is polled every 500 ms.
   FileWatcher(boost::asio::io_context& io, std::string path, std::function<void()> on_change);
   ~FileWatcher();
   FileWatcher(const FileWatcher&) = delete;
   FileWatcher& operator=(const FileWatcher&) = delete;
 
  private:
-  // What stat tells of the file: a changed one differs in some part.
+  // Device, inode, size and modification time (s, ns) from stat(); all 0 if the file cannot be read.
   using FileStatus = std::array<long long, 5>;
   FileStatus ReadStatus() const;
   void CheckForChange();
@@ -36,10 +37,11 @@
   boost::asio::steady_timer poll_timer_;
   FileStatus last_status_;
   std::array<char, 4096> buffer_;
+  // Expires with this object: pending handlers hold weak pointers to it.
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-// The whole of a file; false if it can't be read or is longer than `most` bytes.
+// Reads a whole file into `text`. Returns false if it cannot be read or is longer than `max_bytes`.
 bool ReadFile(const std::string& path, std::size_t max_bytes, std::string& text);
 
 }  // namespace opalswitch::gateway
--- a/src/base/http_types.hpp
+++ b/src/base/http_types.hpp
@@ -1,4 +1,5 @@
-// The messages that clients, gateway and hosts exchange, and what they have in common.
+// The HTTP message types, and the rules that apply to requests and responses alike: size limits, hop-by-hop
+// headers and message framing.
 #ifndef OPALSWITCH_BASE_HTTP_TYPES_HPP_
 #define OPALSWITCH_BASE_HTTP_TYPES_HPP_
 
@@ -17,21 +18,23 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Beast's own view as the standard's; valid for as long as the message.
+// Converts Beast's string view to the standard one. Valid for as long as the message.
 inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// A Retry-After of whole seconds, rounded up: RFC 9110 10.2.3 knows no parts of them.
+// The value of a Retry-After header: seconds, rounded up, as RFC 9110 section 10.2.3 allows no fractions.
 inline std::string FormatRetryAfterSeconds(double ms) {
   return std::to_string(static_cast<long>(std::ceil(ms / 1000)));
 }
 
-// In answers of the gateway's own, refusals and failures: why, in one word.
+// The header in refusals and failures by the gateway itself that gives the cause.
 constexpr char kCauseHeader[] = "Forkwick-Cause";
 
+// Default limit of a body, and limit of a header, of requests and responses.
 constexpr std::uint64_t kMaxBodyBytes = 64 * 1024;
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
-// Whether a field concerns one connection alone, and so must not be passed on. Framing is set anew.
+// Whether a header applies to a single connection and must not be forwarded (RFC 9110 section 7.6.1).
+// Transfer-Encoding is among them: the body is framed anew for the next connection.
 inline bool IsHopByHop(boost::beast::http::field name) {
   using boost::beast::http::field;
   switch (name) {
@@ -47,8 +50,8 @@
   }
 }
 
-// RFC 9110 7.6.1: so do the fields that Connection names, but for those that other parts of the message are
-// understood by. Nearly all messages have none.
+// The headers that Connection names, which are hop-by-hop too (RFC 9110 section 7.6.1), except for those that
+// routing, framing, retries and load reports depend on. Nearly all messages have none.
 template <typename Message>
 std::vector<std::string> NamedByConnection(const Message& message) {
   using boost::beast::iequals;
@@ -64,6 +67,7 @@
   return names;
 }
 
+// Removes all hop-by-hop headers.
 template <typename Message>
 void StripHopByHop(Message& message) {
   using boost::beast::http::field;
@@ -74,9 +78,13 @@
   }
 }
 
-// What a head says of where its body ends, beyond what the parser demands: it lets some codings and repeated
-// lengths pass, by which two readers of one message may find different ends.
-enum class Framing { kNone, kDelimited, kAmbiguous };
+// How a header delimits the body. The parser accepts some transfer codings and repeated lengths for which two
+// recipients of a message may find different ends of the body; these are kAmbiguous (RFC 9112 section 6.3).
+enum class Framing {
+  kNone,       // neither Content-Length nor Transfer-Encoding
+  kDelimited,  // one valid length, or the coding "chunked"
+  kAmbiguous
+};
 
 template <typename Head>
 Framing FramingOf(const Head& head) {
@@ -84,7 +92,7 @@
   const auto lengths = head.count(field::content_length);
   const auto codings = head.count(field::transfer_encoding);
   if (lengths + codings == 0) return Framing::kNone;
-  // "5, 5" is a length to some, and none to others.
+  // Some recipients read "5, 5" as a length, and others reject it.
   for (const char c : head[field::content_length]) {
     if (c < '0' || c > '9') return Framing::kAmbiguous;
   }
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -24,13 +24,13 @@
 using tcp = asio::ip::tcp;
 
 constexpr Millis kTimeoutCheckIntervalMs = 200;
-constexpr std::size_t kMaxReadBufferBytes = 24 * 1024;  // holds a whole head; bodies pass through it
-constexpr std::size_t kMaxIdleBufferBytes = 4096;       // what a connection between requests may hold on to
-constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // read from a client that was told of the close
-constexpr Millis kNoMemoryRetryAfterMs = 1000;          // advice where no memory is left for a body
-constexpr Millis kAcceptRetryDelayMs = 50;  // after an accept that failed, out of descriptors perhaps
+constexpr std::size_t kMaxReadBufferBytes = 24 * 1024;  // holds a whole header; bodies pass through in parts
+constexpr std::size_t kMaxIdleBufferBytes = 4096;       // kept by a connection between requests
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;  // read and dropped from a client while lingering
+constexpr Millis kNoMemoryRetryAfterMs = 1000;          // Retry-After if the memory for bodies is used up
+constexpr Millis kAcceptRetryDelayMs = 50;  // after a failed accept, for example without descriptors
 
-// A message that breaks HTTP, as opposed to a connection that ended.
+// Whether the error is a message that violates HTTP, as opposed to a connection that ended.
 bool IsMalformed(error_code ec) {
   return ec.category() == http::make_error_code(http::error::bad_version).category() &&
          ec != http::error::end_of_stream && ec != http::error::partial_message;
@@ -38,8 +38,9 @@
 
 }  // namespace
 
-// One connection of a client, one request at a time: what comes before the last one is answered stays in the
-// socket, or in the head's buffer, and waits its turn. A client that leaves while it waits is noticed.
+// One client connection. Serves one request at a time: pipelined input stays in the socket or the read buffer
+// until the response to the current request is written. Detects clients that disconnect while a request is in
+// progress.
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(HttpServer& server, std::string listener, tcp::socket socket)
@@ -56,15 +57,15 @@
     ReadHeader();
   }
 
-  // Between requests, with nothing unread: may be closed without losing anything that was taken.
+  // Between requests and without unread input, so closing loses no request.
   bool IsIdle() {
     error_code ec;
     return phase_ == Phase::kReading && !HasPartialRequest() && socket_.available(ec) == 0;
   }
   Millis phase_started_at() const { return phase_started_at_; }
 
-  // Which to close first where places have run out; kKept may not be closed. One that has just connected gets
-  // a moment for its first request to arrive: closed at once, it would only connect again.
+  // A new connection gets some time for its first request to arrive: a client whose connection is closed at
+  // once would only connect again.
   EvictionPriority eviction_priority(Millis now) const {
     if (phase_ == Phase::kLingering) return EvictionPriority::kLingering;
     if (phase_ != Phase::kReading || (HasPartialRequest() && responses_sent_ > 0))
@@ -73,7 +74,7 @@
     if (now - phase_started_at_ < server_.limits_.new_connection_grace) return EvictionPriority::kNew;
     return HasPartialRequest() ? EvictionPriority::kPartialRequest : EvictionPriority::kNoRequest;
   }
-  // Nothing that the client has sent whole may lie unread in the socket.
+  // Whether closing loses no request: the socket must hold no unread input, which might be a whole request.
   bool IsEvictable() {
     error_code ec;
     return phase_ == Phase::kLingering || (phase_ == Phase::kReading && socket_.available(ec) == 0);
@@ -87,7 +88,6 @@
     server_.OnSessionClosed(shared_from_this());
   }
 
-  // Ends what has stood still for too long.
   void CheckTimeouts(Millis now) {
     const HttpServerLimits& limits = server_.limits_;
     if (phase_ == Phase::kReading) {
@@ -119,7 +119,7 @@
 
   void ReadHeader() {
     parser_.emplace();
-    parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // its head decides
+    parser_->body_limit(std::numeric_limits<std::uint64_t>::max());  // set once the header is read
     parser_->header_limit(kMaxHeaderBytes);
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](error_code ec, std::size_t) {
@@ -127,7 +127,7 @@
                             });
   }
 
-  // Meanwhile what the client sends waits in its socket.
+  // Reads the next header after a delay. Until then the client's input stays in the socket.
   void ReadHeaderAfter(Millis pause) {
     const auto timer = std::make_shared<asio::steady_timer>(server_.io_, ToDuration(pause));
     timer->async_wait([self = shared_from_this(), timer, request_number = request_number_](error_code) {
@@ -135,7 +135,8 @@
     });
   }
 
-  // All that the head can decide is decided before the body is read: what is turned away takes no memory.
+  // Validates, routes and admits the request before its body is read, so that refused requests use no memory
+  // for bodies.
   void OnHeaderRead(error_code ec) {
     if (ec) return HandleReadError(ec);
     const HttpRequest& head = parser_->get();
@@ -166,7 +167,8 @@
     http::async_read(socket_, buffer_, *parser_,
                      [self = shared_from_this()](error_code body_ec, std::size_t) {
                        if (self->phase_ != Phase::kReading) return;
-                       body_ec ? self->HandleReadError(body_ec) : self->SubmitRequest();
+                       if (body_ec) return self->HandleReadError(body_ec);
+                       self->SubmitRequest();
                      });
   }
 
@@ -203,18 +205,18 @@
     pool_ = request.pool;
     EnterPhase(Phase::kAwaitingResponse);
     if (buffer_.size() > 0) {
-      next_request_received_at_ = request.received;  // with the one before it
+      next_request_received_at_ = request.received;  // it was read together with this one
     } else {
       WatchForDisconnect();
     }
-    const auto pool = pool_;  // the answer may come at once, and the pool be let go with it
+    const auto pool = pool_;  // the response may be sent during Submit(), which resets pool_
     ClientRequest submitted = std::move(*request_);
     request_.reset();
     pool->Submit(std::move(submitted));
   }
 
-  // Nothing is read while a request is out: whoever sends on waits in its own socket, and takes no memory
-  // here.
+  // Waits for the client to disconnect or to send more while its request is in progress. Nothing is read:
+  // further input stays in the socket and uses no memory here.
   void WatchForDisconnect() {
     socket_.async_wait(
         tcp::socket::wait_read, [self = shared_from_this(), request_number = request_number_](error_code ec) {
@@ -224,12 +226,12 @@
             return;
           }
           const auto pool = self->pool_;
-          self->Close();  // its request is told off after the connection is forgotten
+          self->Close();  // first, so that the pool's response is dropped
           pool->ClientDisconnected(self->request_id_);
         });
   }
 
-  // Whoever broke the protocol once has no place to go on from: what follows could be anything.
+  // After a request that is invalid or not read to its end, the start of the next one is unknown.
   void RespondAndClose(const LocalReply& reply) {
     HttpResponse response = ToResponse(reply);
     response.keep_alive(false);
@@ -259,8 +261,8 @@
     }
     const bool allows_keep_alive = response_.keep_alive();
     response_.version(http_version_);
-    // In a drain, or with clients waiting for a place, the connection ends here: but not on a request that
-    // has been taken in already.
+    // During a drain, or with clients waiting to connect, the connection is closed after this response,
+    // unless input that may be another request has arrived.
     error_code ec;
     const bool has_unread_input = buffer_.size() > 0 || socket_.available(ec) > 0;
     keep_alive_ = keep_alive_ && allows_keep_alive &&
@@ -272,8 +274,9 @@
     });
   }
 
-  // RFC 9110 8.6 and 9.3.2: an answer to HEAD may tell the length of what GET would have got, and has no
-  // body; 204 and 304 have none either, and 204 tells no length.
+  // Sets Content-Length and removes the body where there must be none. RFC 9110 sections 8.6 and 9.3.2:
+  // responses to HEAD and responses 204 and 304 have no body. All of these but 204 may give the length that a
+  // response to GET would have.
   void PrepareBody() {
     const http::status status = response_.result();
     if (!std::exchange(is_head_request_, false) && status != http::status::no_content &&
@@ -292,7 +295,7 @@
     ++responses_sent_;
     EnterPhase(Phase::kReading);
     if (buffer_.size() == 0 && buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
-    parser_.emplace();  // Begun() asks it
+    parser_.emplace();  // HasPartialRequest() reads it
     const auto read_throttle = std::exchange(read_throttle_, nullptr);
     const Millis pause = last_response_is_error_ && read_throttle ? read_throttle->NextDelay(Now()) : 0;
     if (pause > 0 && !server_.is_draining_) {
@@ -305,8 +308,9 @@
     }
   }
 
-  // Closing with bytes unread would reset the connection, and could take the answer from the client. But one
-  // that goes on sending for long is not worth the reading.
+  // Shuts down the sending side and discards input until the client closes. Closing with input unread would
+  // reset the connection, and the client might lose the response. Gives up after kMaxDiscardedBytes or
+  // linger_timeout.
   void LingerAndClose() {
     EnterPhase(Phase::kLingering);
     parser_.reset();
@@ -329,7 +333,8 @@
     });
   }
 
-  // What its request holds of the memory and of its pool's limits, as far as that is not the pool's by now.
+  // Releases the memory reserved for the body, and the request's use of its pool's limits unless the pool has
+  // taken the request over.
   void ReleaseReservations() {
     server_.reserved_body_bytes_ -= std::exchange(reserved_body_bytes_, 0);
     request_.reset();
@@ -341,31 +346,31 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   HttpResponse response_;
   RequestOrigin origin_;
-  routing::Target target_;                               // of the request that is being read
-  std::optional<ClientRequest> request_;                 // the same, from its head until it is taken
-  bool is_health_check_ = false;                         // it asks for this gateway's own health
-  bool is_head_request_ = false;                         // it is a HEAD request
-  std::shared_ptr<limits::ReadThrottle> read_throttle_;  // of the pool that it is for
-  bool last_response_is_error_ = false;                  // by the last answer
+  routing::Target target_;                // of the current request
+  std::optional<ClientRequest> request_;  // the current request, from its header until Submit()
+  bool is_health_check_ = false;          // the current request is one
+  bool is_head_request_ = false;          // the current request is one
+  std::shared_ptr<limits::ReadThrottle> read_throttle_;  // of the current request's pool
+  bool last_response_is_error_ = false;                  // its status was 429 or 5xx
   std::string request_id_;
-  std::shared_ptr<Pool> pool_;  // that has its request
+  std::shared_ptr<Pool> pool_;  // that processes the current request
   std::uint64_t request_number_ = 0;
   std::uint64_t responses_sent_ = 0;
-  std::size_t reserved_body_bytes_ = 0;  // bytes of body that count against the server's
+  std::size_t reserved_body_bytes_ = 0;  // part of the server's
   Phase phase_ = Phase::kReading;
   Millis phase_started_at_ = Now();
-  Millis request_started_at_ = 0;        // when a part of a request was first seen
-  Millis next_request_received_at_ = 0;  // when the next request was seen behind the one being served
+  Millis request_started_at_ = 0;        // when the first part of a request was noticed; 0: none
+  Millis next_request_received_at_ = 0;  // when input behind the current request was noticed; 0: none
   unsigned http_version_ = 11;
   bool keep_alive_ = true;
 };
 
-// One address that clients connect to.
+// A socket that accepts connections.
 struct HttpServer::Listener {
   Listener(asio::io_context& io, std::string name, const tcp::endpoint& address)
       : id(std::move(name)), requested_address(address), acceptor(io), retry_timer(io) {}
   std::string id;
-  const tcp::endpoint requested_address;  // its port may be 0
+  const tcp::endpoint requested_address;  // port 0 if any would do
   tcp::acceptor acceptor;
   asio::steady_timer retry_timer;
   bool is_accepting = false;
@@ -406,16 +411,16 @@
   if (listener->is_accepting || !listener->acceptor.is_open()) return;
   listener->is_accepting = true;
   listener->acceptor.async_accept([this, listener](error_code ec, tcp::socket socket) {
-    if (!listener->acceptor.is_open()) return;  // closed, perhaps with this server
+    if (!listener->acceptor.is_open()) return;  // closed, maybe because this server was destroyed
     listener->is_accepting = false;
     if (!ec) {
       StartSession(*listener, std::move(socket));
-      // With all places taken by requests under way, further clients wait in the kernel's queue.
+      // If no connection can be evicted, further clients wait in the kernel's accept queue.
       if (!IsFull() || EvictConnection()) Accept(listener);
       return;
     }
     if (ec == asio::error::no_descriptors) EvictConnection();
-    listener->retry_timer.expires_after(ToDuration(kAcceptRetryDelayMs));  // at once would spin
+    listener->retry_timer.expires_after(ToDuration(kAcceptRetryDelayMs));  // avoids a busy loop
     listener->retry_timer.async_wait([this, listener](error_code wait_ec) {
       if (!wait_ec && listener->acceptor.is_open()) Accept(listener);
     });
@@ -441,15 +446,13 @@
          });
 }
 
-// Connections that clients keep after a request and don't use again count against what they may open: past
-// `usual` they shut further clients out, long before places run out here. In a stop the kept ones are all
-// that clients have left.
+// Idle connections count against the number that clients may open: beyond the threshold they keep other
+// clients from connecting, long before max_connections is reached here. While the gateway is not ready, as
+// during shutdown, idle connections stay open, because clients cannot open new ones.
 bool HttpServer::ShouldEvictIdle() const {
   return sessions_.size() > limits_.idle_eviction_threshold && handlers_.is_ready();
 }
 
-// Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
-// there is still room none is closed that has begun a request, or is about to.
 bool HttpServer::EvictConnection(bool idle_only) {
   const Millis now = Now();
   std::shared_ptr<Session> candidate;
@@ -486,7 +489,7 @@
 }
 
 void HttpServer::CloseListener(Listener& listener) {
-  // Whoever stands in the queue has connected, and may have sent a request: to close on it would lose that.
+  // Clients in the accept queue are connected already and may have sent a request, which closing would lose.
   for (error_code ec; !IsFull();) {
     tcp::socket socket = listener.acceptor.accept(ec);
     if (ec) break;
--- a/src/http/http_server.hpp
+++ b/src/http/http_server.hpp
@@ -1,4 +1,4 @@
-// The side that clients see: the listener, /up, the parsing of requests, and the one answer to each.
+// The gateway's front end for clients: listeners, connections, health checks, request parsing and responses.
 #ifndef OPALSWITCH_HTTP_HTTP_SERVER_HPP_
 #define OPALSWITCH_HTTP_HTTP_SERVER_HPP_
 
@@ -20,58 +20,73 @@
 
 namespace opalswitch::gateway {
 
-// Where a request came in.
+// Where a request was received.
 struct RequestOrigin {
-  std::string listener;             // its id
-  boost::asio::ip::address client;  // who connected
+  std::string listener;             // the listener's id
+  boost::asio::ip::address client;  // the peer's address
 };
 
 struct HttpServerLimits {
   std::size_t max_connections = 256;
-  std::size_t idle_eviction_threshold = 256;  // past it each answer has the longest idle connection closed
-  std::uint64_t max_body_bytes = 16 << 20;    // that requests may hold together
-  Millis first_request_timeout = 2000;        // from connecting: who says nothing by then is closed
-  Millis new_connection_grace = 250;          // of this a new connection is as good as one with a request
-  Millis request_timeout = 2000;              // a request that was begun must be whole by then
-  Millis idle_timeout = 10000;                // a connection without a request is closed
-  Millis write_timeout = 3000;                // an answer must have been taken in by then
-  Millis linger_timeout = 500;                // a client that was told of the close gets this to close first
+  // With more connections than this, idle ones are closed after each response until the number is reached,
+  // unless the gateway is not ready.
+  std::size_t idle_eviction_threshold = 256;
+  // Of all request bodies that are being read, together.
+  std::uint64_t max_body_bytes = 16 << 20;
+  // From accepting a connection to its first byte.
+  Millis first_request_timeout = 2000;
+  // A connection younger than this that has had no response yet is evicted only if no other can be.
+  Millis new_connection_grace = 250;
+  // From the first byte of a request to its last; for the first request of a connection, from accepting it.
+  Millis request_timeout = 2000;
+  // Of a connection between requests.
+  Millis idle_timeout = 10000;
+  // For the client to receive a response.
+  Millis write_timeout = 3000;
+  // For the client to close a connection after a response that announced the close.
+  Millis linger_timeout = 500;
 };
 
+// The HTTP/1.x server for clients: accepts connections on any number of listeners, answers health checks,
+// validates and admits requests, passes them to their pools, and sends exactly one response to each. All
+// functions and handlers run on `io`'s thread.
 class HttpServer {
  public:
   struct Handlers {
+    // What health checks report.
     std::function<bool()> is_ready;
-    // Decides by its head what becomes of a request: fills in the call, all but its message, its time and its
-    // answer, or gives the answer to one that goes no further.
+    // Routes and admits a request by its header. Fills in the ClientRequest, except for its message, time of
+    // receipt and respond function, or returns the reply to send instead.
     std::function<std::optional<LocalReply>(const HttpRequest&, const routing::Target&, const RequestOrigin&,
                                             ClientRequest&)>
         admit;
-    // Whether answers of the gateway's own say why; empty = they do.
+    // Whether the gateway's own refusals and failures give their cause to clients. Null means yes.
     std::function<bool()> reports_cause = nullptr;
   };
 
-  // `health`: the path by which GET tells whether the gateway is ready; empty = none.
+  // GET of `health_path` returns 200 if the gateway is ready, else 503. Empty: no health checks.
   HttpServer(boost::asio::io_context& io, const HttpServerLimits& limits, Handlers handlers,
              std::string health_path);
   ~HttpServer();
 
-  // Listens at once, under a name. Throws boost::system::system_error if it can't.
+  // Opens a listener with the given id and returns its actual address. Throws boost::system::system_error on
+  // failure.
   boost::asio::ip::tcp::endpoint Listen(const std::string& id, const boost::asio::ip::tcp::endpoint& address);
-  // Takes what has connected so far, then closes that listener. Its connections are served on.
+  // Accepts the connections that are already established, then closes the listener that was opened with this
+  // id and address. Its connections are still served.
   void Unlisten(const std::string& id, const boost::asio::ip::tcp::endpoint& requested_address);
   boost::asio::ip::tcp::endpoint address(const std::string& id) const;
   std::size_t connections() const { return sessions_.size(); }
 
-  // The same for all listeners.
+  // Does the same for all listeners.
   void StopListening();
-  // Closes the connections between requests; from now on each answer closes its own. `done` follows when the
-  // last one is closed.
+  // Closes all idle connections; all others close after their next response, unless another request has
+  // arrived by then. Calls `done` once the last connection is closed.
   void Drain(std::function<void()> done);
 
  private:
   class Session;
-  // The order in which connections are closed where places have run out.
+  // The order in which connections are closed when the limit on connections is reached.
   enum class EvictionPriority { kLingering, kNoRequest, kPartialRequest, kIdle, kNew, kNotEvictable };
   struct Listener;
   void Accept(const std::shared_ptr<Listener>& listener);
@@ -79,12 +94,18 @@
   void CloseListener(Listener& listener);
   void OnSessionClosed(const std::shared_ptr<Session>& session);
   bool IsFull() const { return sessions_.size() >= limits_.max_connections; }
-  // Clients stand in the kernel's queue for want of a place.
+  // Whether accepting is paused because the limit on connections is reached, so that clients may be waiting
+  // in the kernel's accept queue.
   bool HasWaitingClients() const;
   bool ShouldEvictIdle() const;
+  // Closes the connection with the lowest EvictionPriority, and among equals the one that has been in its
+  // phase for the longest time. With `idle_only` it leaves alone those that are new or have sent part of a
+  // request. Returns whether one was closed.
   bool EvictConnection(bool idle_only = false);
-  // Counts a body that is to be read; false if there is no room for it.
+  // Reserves memory for a request body and adds it to `reserved`. Returns false if the limit would be
+  // exceeded.
   bool ReserveBody(std::uint64_t bytes, std::size_t& reserved);
+  // Closes or answers connections whose time-outs have passed, and schedules the next check.
   void CheckTimeouts();
 
   boost::asio::io_context& io_;
--- a/src/http/message_rules.cpp
+++ b/src/http/message_rules.cpp
@@ -9,9 +9,9 @@
 
 namespace http = boost::beast::http;
 
-// RFC 9110 5.5: no control characters but the tab. The parser lets some pass.
+// RFC 9110 section 5.5: no control characters other than tab. The parser accepts some.
 bool IsFieldValue(std::string_view value) {
-  bool has_control_character = false;  // without a way out in between: the compiler takes many at once
+  bool has_control_character = false;  // no early exit, so that the loop can be vectorized
   for (const char c : value) {
     const auto byte = static_cast<unsigned char>(c);
     has_control_character |= (byte < 0x20 && byte != '\t') || byte == 0x7F;
@@ -28,8 +28,8 @@
 std::optional<LocalReply> ValidateMessage(const HttpRequest& head, routing::Target& target) {
   const auto reject = [](std::string text) { return LocalReply{http::status::bad_request, std::move(text)}; };
   if (FramingOf(head) == Framing::kAmbiguous) return reject("where the body ends is not clear");
-  // RFC 9112 6.1: HTTP/1.0 knows no transfer codings, and a recipient of that version would read on by
-  // another rule.
+  // RFC 9112 section 6.1: HTTP/1.0 has no transfer codings, so an HTTP/1.0 recipient would find another end
+  // of the body.
   if (head.version() < 11 && head.count(http::field::transfer_encoding) > 0) {
     return reject("HTTP/1.0 has no transfer coding");
   }
@@ -48,7 +48,7 @@
   if (!parsed_target) return reject(error);
   const auto host = routing::ParseAuthority(hosts > 0 ? ToStringView(head[http::field::host]) : "", error);
   if (!host) return reject("Host: " + error);
-  // RFC 9112 3.2.2: the authority of an absolute target counts, and Host is ignored.
+  // RFC 9112 section 3.2.2: the authority of an absolute target replaces that of Host.
   if (parsed_target->form != routing::Form::kAbsolute) parsed_target->authority = *host;
   target = std::move(*parsed_target);
   return std::nullopt;
@@ -56,7 +56,8 @@
 
 void NormalizeRequest(HttpRequest& http, const routing::Target& target) {
   if (target.form == routing::Form::kAbsolute || http.count(http::field::host) == 0) {
-    http.set(http::field::host, FormatAuthority(target.authority));  // HTTP/1.0 needs none, and a host does
+    http.set(http::field::host,
+             FormatAuthority(target.authority));  // optional in HTTP/1.0, required by hosts
   }
   if (target.form == routing::Form::kAbsolute || !target.is_normalized)
     http.target(target.path + target.query);
--- a/src/http/message_rules.hpp
+++ b/src/http/message_rules.hpp
@@ -1,7 +1,7 @@
-// What a client's HTTP/1.1 message must be before anything is decided about it: one meaning for each message,
-// the same for this gateway and for every host behind it.
+// Validation and normalization of clients' HTTP/1.x requests. Requests that this gateway and a host behind it
+// might interpret differently are rejected before any routing or admission decision.
 //
-// Sources: RFC 9112 sections 2.3, 3.2, 5, 6; RFC 9110 sections 5.3 and 7.2.
+// See RFC 9112 sections 2.3, 3.2, 5 and 6, and RFC 9110 sections 5.3 and 7.2.
 #ifndef OPALSWITCH_HTTP_MESSAGE_RULES_HPP_
 #define OPALSWITCH_HTTP_MESSAGE_RULES_HPP_
 
@@ -13,11 +13,13 @@
 
 namespace opalswitch::gateway {
 
-// Reads the target and the authority: that of an absolute target, else Host's. A message that breaks a rule,
-// or that two readers could take for two, gives the answer to it instead.
+// Validates the header of a request and sets `target` to its path and authority: that of an absolute target,
+// else that of Host. Returns the reply to send if the request is invalid or ambiguous; `target` is then
+// unchanged.
 std::optional<LocalReply> ValidateMessage(const HttpRequest& head, routing::Target& target);
 
-// Puts the message into the one form that goes on: origin form, normal path, and Host as `target` has it.
+// Rewrites the request into the form that is sent to hosts: a target in origin form with a normalized path,
+// and the authority of `target` in Host.
 void NormalizeRequest(HttpRequest& http, const routing::Target& target);
 
 }  // namespace opalswitch::gateway
--- a/src/http/platform_request.cpp
+++ b/src/http/platform_request.cpp
@@ -19,7 +19,6 @@
 
 }  // namespace
 
-// "480m" or "480000u": milliseconds.
 std::optional<Millis> ParseDeadline(std::string_view text) {
   if (text.size() < 2) return std::nullopt;
   const double unit = text.back() == 'm' ? 1 : text.back() == 'u' ? 0.001 : 0;
@@ -31,7 +30,7 @@
   return std::min(value * unit, kMaxDeadlineMs);
 }
 
-// A guess that can't be read is no fault: it decides nothing that a request would have to be turned away for.
+// A malformed estimate is ignored rather than rejected, as no request is refused because of its estimate.
 Millis ParseCost(std::string_view text) {
   double value = 0;
   const char* const text_end = text.data() + text.size();
@@ -55,9 +54,9 @@
   if (target.path != "/api" && !target.path.starts_with("/api/")) {
     return reply(http::status::not_found, "no such path");
   }
-  // Paths go on unchanged here: one that has a second form could be another path to the host.
+  // Paths are forwarded unchanged in this protocol, and a host might normalize one to a different path.
   if (!target.is_normalized) return reply(http::status::bad_request, "the path is not in its normal form");
-  // Of two fields with one name, this gateway and a host might each believe another.
+  // This gateway and a host might each use a different one of two headers of the same name.
   for (const char* const name : {"Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Retry",
                                  "Req-Cost", "Req-Extra", "Idempotency-Key"}) {
     if (http.count(name) > 1) return reply(http::status::bad_request, std::string(name) + " is repeated");
@@ -72,7 +71,7 @@
   const auto client_timeout = ParseDeadline(FieldValue(http, "Req-Deadline"));
   if (!client_timeout) return reply(http::status::bad_request, "Req-Deadline is missing or malformed");
   request.client_timeout = *client_timeout;
-  // A repeat of a request that is not safe must be possible to tell from its class and method alike.
+  // Both the class and the method have to show whether a request is safe to repeat.
   if (http.method() != (found->second == Effect::kSafe ? http::verb::get : http::verb::post)) {
     return LocalReply{http::status::method_not_allowed, "the class takes another method", 0, "GET, POST"};
   }
--- a/src/http/platform_request.hpp
+++ b/src/http/platform_request.hpp
@@ -1,5 +1,5 @@
-// A client's request as the platform's protocol words it: its fields say what class, tenant and deadline it
-// has.
+// Requests in the platform's protocol, in which headers (Req-Kind, Req-Owner, Req-Deadline, ...) give the
+// class, tenant and deadline of a request.
 #ifndef OPALSWITCH_HTTP_PLATFORM_REQUEST_HPP_
 #define OPALSWITCH_HTTP_PLATFORM_REQUEST_HPP_
 
@@ -15,20 +15,24 @@
 
 namespace opalswitch::gateway {
 
+// The effect of requests by class name.
 using ClassEffects = std::unordered_map<std::string, Effect>;
 ClassEffects ClassEffectsOf(const Settings& settings);
 
-// Fills in the call, or gives the answer to a request that breaks the protocol.
+// Validates a request and fills in `request` from its headers. Returns the reply to send if the request
+// violates the protocol.
 std::optional<LocalReply> ReadPlatformRequest(const ClassEffects& classes, const HttpRequest& head,
                                               const routing::Target& target, ClientRequest& request);
 
-// "480m" or "480000u": milliseconds. Longer ones are cut to ten minutes: timers must not overflow.
+// Parses "480m" (milliseconds) or "480000u" (microseconds). Returns milliseconds, at most ten minutes so that
+// timers do not overflow, or nothing if the text is malformed.
 std::optional<Millis> ParseDeadline(std::string_view text);
 
-// "12500", in microseconds, as milliseconds; 0 = no guess, or one that can't be read.
+// Parses a client's estimate of a request's work, in microseconds ("12500"). Returns milliseconds, or 0 if
+// there is no estimate or it is malformed.
 Millis ParseCost(std::string_view text);
 
-constexpr std::size_t kMaxRequestIdLength = 256;  // characters of a request's id
+constexpr std::size_t kMaxRequestIdLength = 256;  // characters
 
 }  // namespace opalswitch::gateway
 
