--- a/src/http/message_rules.cpp
+++ b/src/http/message_rules.cpp
@@ -56,8 +56,8 @@
 
 void NormalizeRequest(HttpRequest& http, const routing::Target& target) {
   if (target.form == routing::Form::kAbsolute || http.count(http::field::host) == 0) {
-    http.set(http::field::host,
-             FormatAuthority(target.authority));  // optional in HTTP/1.0, required by hosts
+    // HTTP/1.0 requests may lack Host, which hosts require.
+    http.set(http::field::host, FormatAuthority(target.authority));
   }
   if (target.form == routing::Form::kAbsolute || !target.is_normalized)
     http.target(target.path + target.query);
--- a/src/http/platform_request.cpp
+++ b/src/http/platform_request.cpp
@@ -41,8 +41,9 @@
 
 ClassEffects ClassEffectsOf(const Settings& settings) {
   ClassEffects classes;
-  for (const ClassSettings& class_settings : settings.classes)
+  for (const ClassSettings& class_settings : settings.classes) {
     classes[class_settings.name] = class_settings.effect;
+  }
   return classes;
 }
 
