--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -39,9 +39,11 @@
 HttpServerLimits HttpServerLimitsFor(std::size_t configured, double memory_mb) {
   HttpServerLimits limits;
   const std::size_t usable = UsableDescriptors(configured), hosts = HostDescriptorLimit(configured);
-  limits.sessions = usable > hosts ? usable - hosts : 1;
-  limits.usual = static_cast<std::size_t>(static_cast<double>(configured) * kClientSoftLimitFraction);
-  limits.body_bytes = static_cast<std::uint64_t>(std::max(1.0, memory_mb * kBodyMemoryFraction) * (1 << 20));
+  limits.max_connections = usable > hosts ? usable - hosts : 1;
+  limits.idle_eviction_threshold =
+      static_cast<std::size_t>(static_cast<double>(configured) * kClientSoftLimitFraction);
+  limits.max_body_bytes =
+      static_cast<std::uint64_t>(std::max(1.0, memory_mb * kBodyMemoryFraction) * (1 << 20));
   return limits;
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -41,7 +41,7 @@
                  config.seed),
       http_server_(io, HttpServerLimitsFor(config.sockets, config.memory_mb),
                    {[this] { return pool_->has_hosts() && !stop_.has_begun(); },
-                    [this, classes = PlatformClasses(config.settings)](
+                    [this, classes = ClassEffectsOf(config.settings)](
                         const HttpRequest& head, const routing::Target& target, const RequestOrigin&,
                         ClientRequest& request) {
                       request.pool = pool_;
@@ -59,7 +59,7 @@
 void Gateway::OnMembershipUpdateFailed() {
   pool_->MembershipUpdateFailed();
   if (settings_.requires_watch) return;  // the module requests the next watch itself
-  discovery_.WatchLater();
+  discovery_.WatchAfterDelay();
 }
 
 void Gateway::Stop(std::function<void()> done, StopTimes times) { stop_.Begin(std::move(done), times); }
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -34,7 +34,7 @@
 HttpServerLimits HttpLimits(const config::Services& services) {
   HttpServerLimits limits =
       HttpServerLimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
-  limits.usual = limits.sessions;
+  limits.idle_eviction_threshold = limits.max_connections;
   return limits;
 }
 
@@ -117,8 +117,9 @@
       }) {
   const HttpServerLimits limits = HttpLimits(*services);
   client_connections_.Resize(std::max<std::uint64_t>(
-      1, static_cast<std::uint64_t>(static_cast<double>(limits.sessions) * kRequestConnectionFraction)));
-  body_memory_.Resize(limits.body_bytes);
+      1,
+      static_cast<std::uint64_t>(static_cast<double>(limits.max_connections) * kRequestConnectionFraction)));
+  body_memory_.Resize(limits.max_body_bytes);
   snapshot_ = std::make_shared<Snapshot>();
   if (const auto error = Reload(std::move(services))) throw std::runtime_error(*error);
 }
--- a/src/membership/host_source.cpp
+++ b/src/membership/host_source.cpp
@@ -10,7 +10,7 @@
 namespace opalswitch::gateway {
 namespace {
 
-constexpr std::size_t kMostFile = 8 << 20;
+constexpr std::size_t kMaxFileBytes = 8 << 20;
 
 }  // namespace
 
@@ -37,24 +37,26 @@
 }
 
 std::optional<HostList> ReadHostFile(const std::string& text, std::string& error) {
-  if (text.find_first_not_of(" \t\r\n") == std::string::npos) return error = "is empty", std::nullopt;
+  const auto fail = [&error](std::string reason) {
+    error = std::move(reason);
+    return std::nullopt;
+  };
+  if (text.find_first_not_of(" \t\r\n") == std::string::npos) return fail("is empty");
   nlohmann::json parsed = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!parsed.is_object()) return error = "is no whole JSON object", std::nullopt;
+  if (!parsed.is_object()) return fail("is not a complete JSON object");
   const auto members = parsed.find("members");
-  if (members == parsed.end() || !members->is_array())
-    return error = "members: missing, or not a list", std::nullopt;
+  if (members == parsed.end() || !members->is_array()) return fail("members: missing, or not a list");
   const auto empty = parsed.find("empty");
   if (members->empty() && (empty == parsed.end() || *empty != true)) {
-    return error = "members: none; say \"empty\": true beside it if there are to be none", std::nullopt;
+    return fail("members: none listed; add \"empty\": true if the pool is to have no hosts");
   }
   HostList list;
   std::set<std::string> ids;
   for (std::size_t i = 0; i < members->size(); ++i) {
     const auto host = ParseHost((*members)[i], error);
-    if (!host) return error = "members[" + std::to_string(i) + "]." + error, std::nullopt;
+    if (!host) return fail("members[" + std::to_string(i) + "]." + error);
     if (!ids.insert(host->server.id).second) {
-      return error = "members[" + std::to_string(i) + "].id: '" + host->server.id + "' is listed twice",
-             std::nullopt;
+      return fail("members[" + std::to_string(i) + "].id: '" + host->server.id + "' is listed twice");
     }
     if (host->server.state != ServerState::kGone) list.hosts.push_back(*host);
   }
@@ -65,26 +67,26 @@
     : io_(io), path_(std::move(path)), handlers_(std::move(handlers)) {}
 
 void FileSource::Start() {
-  watch_ = std::make_unique<FileWatcher>(io_, path_, [this] { Read(); });
-  Read();
+  watcher_ = std::make_unique<FileWatcher>(io_, path_, [this] { Reload(); });
+  Reload();
 }
 
-void FileSource::Read() {
+void FileSource::Reload() {
   std::string text, error;
   std::optional<HostList> list;
-  if (!ReadFile(path_, kMostFile, text)) {
+  if (!ReadFile(path_, kMaxFileBytes, text)) {
     error = "can't be read, or is larger than 8 MiB";
-  } else if (text == told_) {
+  } else if (text == accepted_text_) {
     return;
   } else {
     list = ReadHostFile(text, error);
   }
   if (!list) {
     handlers_.on_log(path_ + ": " + error +
-                     (told_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
+                     (accepted_text_.empty() ? "; no hosts are known yet" : "; the last good list stays"));
     return handlers_.on_failure();
   }
-  told_ = std::move(text);
+  accepted_text_ = std::move(text);
   handlers_.on_update(*list);
 }
 
@@ -94,7 +96,7 @@
       discovery_(io, address, std::nullopt,
                  {[this](const HostList& list) { handlers_.on_update(list); },
                   [this] {
-                    discovery_.WatchLater();
+                    discovery_.WatchAfterDelay();
                     handlers_.on_failure();
                   },
                   handlers_.on_log},
