--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -20,7 +20,7 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 using xds::Control;
-using xds::Type;
+using xds::ResourceType;
 
 constexpr int kNodes = 60;
 constexpr auto kHeld = milliseconds(1000);  // from a node's drain to its end: longer than any lease
@@ -56,7 +56,7 @@
   std::vector<std::unique_ptr<XdsClient>> proxies;
   const auto connect = [&](XdsClient& proxy) {
     proxy.Connect();
-    proxy.Subscribe(Type::kEndpoint, {"p"});
+    proxy.Subscribe(ResourceType::kEndpoint, {"p"});
   };
   for (int i = 0; i < count; ++i) {
     proxies.push_back(std::make_unique<XdsClient>(server.port(), i % 2 == 0, "proxy-" + std::to_string(i)));
@@ -64,7 +64,7 @@
     connect(*proxies.back());
   }
   for (const auto& proxy : proxies) {
-    if (!proxy->Await([&] { return proxy->held(Type::kEndpoint).size() == 1; })) std::abort();
+    if (!proxy->Await([&] { return proxy->held(ResourceType::kEndpoint).size() == 1; })) std::abort();
   }
   std::mt19937 random(7);
   std::vector<double> times;
--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -23,8 +23,8 @@
 using xds::Control;
 using xds::Hub;
 using xds::Request;
+using xds::ResourceType;
 using xds::Session;
-using xds::Type;
 
 double CpuMicros() {
   timespec now;
@@ -65,12 +65,12 @@
     for (Hub::StreamId stream = 1; stream <= proxies; ++stream) {
       if (!hub.Open(stream, form, now)) std::abort();
       Request request;
-      request.type = Type::kEndpoint;
+      request.type = ResourceType::kEndpoint;
       request.names = request.subscribe = {"p"};
       Deliver(hub.Take(stream, Node(stream), request, now));
       if (!each) continue;
       Request members;
-      members.type = Type::kMember;
+      members.type = ResourceType::kLbEndpoint;
       members.subscribe = {"xdstp:///envoy.config.endpoint.v3.LbEndpoint/p/zone-/*"};
       Deliver(hub.Take(stream, Node(stream), members, now));
     }
@@ -91,7 +91,7 @@
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
         ack.version = out.response.version;
-        if (ack.type == Type::kEndpoint) ack.names = {"p"};
+        if (ack.type == ResourceType::kEndpoint) ack.names = {"p"};
         if (form == Session::Form::kDelta) ack.names.clear();
         auto more = hub.Take(out.stream, Node(out.stream), ack, now);
         next.insert(next.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -121,8 +121,9 @@
     auto all = BuildRouting(*services_, options);
     for (const auto& [id, of_pool] : parts_[group.form]) {
       if (!group.Sees(id)) continue;
-      all[static_cast<std::size_t>(Type::kEndpoint)][id] = of_pool.list;
-      all[static_cast<std::size_t>(Type::kMember)].insert(of_pool.members.begin(), of_pool.members.end());
+      all[static_cast<std::size_t>(ResourceType::kEndpoint)][id] = of_pool.list;
+      all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].insert(of_pool.members.begin(),
+                                                                      of_pool.members.end());
     }
     group.told = std::make_shared<const Snapshot>(std::move(all));
     Append(out, hub_.Publish(group.id, group.told, /*urgent=*/true, now));
@@ -282,10 +283,10 @@
     const ResourceOptions options = OptionsOf(static_cast<Form>(form));
     EndpointParts& parts = parts_[form][id];
     const ResourcePtr list = parts.list;
-    auto& members = changes[form][static_cast<std::size_t>(Type::kMember)];
+    auto& members = changes[form][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
     if (form == kEach) {
-      if (list->unknown) {  // what stood for all that was not known yet
-        for (const auto& [name, unknown] : parts.members) members[name] = nullptr;
+      if (list->is_placeholder) {  // what stood for all that was not known yet
+        for (const auto& [name, placeholder] : parts.members) members[name] = nullptr;
         parts.members.clear();
       }
       std::set<std::string> zones;
@@ -310,12 +311,12 @@
       for (const auto& [host, endpoint] : pool.told) endpoints.push_back(endpoint);
       parts = BuildEndpoints(id, endpoints, options, parts);
     }
-    if (parts.list != list) changes[form][static_cast<std::size_t>(Type::kEndpoint)][id] = parts.list;
+    if (parts.list != list) changes[form][static_cast<std::size_t>(ResourceType::kEndpoint)][id] = parts.list;
   }
   Outs out;
   for (Group& group : groups_) {
     if (!group.Sees(id)) continue;
-    group.told = group.told->With(changes[group.form]);
+    group.told = group.told->WithChanges(changes[group.form]);
     Append(out, hub_.Publish(group.id, group.told, urgent, now));
   }
   NoteOut(id, pool, changed);
@@ -339,14 +340,14 @@
       if (!group.Sees(id)) continue;
       const EndpointParts& parts = parts_[group.form].at(id);
       if (group.form != kEach) {
-        needs.push_back({group.id, Type::kEndpoint, id, parts.list->serial});
+        needs.push_back({group.id, ResourceType::kEndpoint, id, parts.list->serial});
         continue;
       }
       // The list leads to members, and does not change with them.
       const std::string name = MemberName(id, endpoint);
       const auto member = parts.members.find(name);
       if (member != parts.members.end())
-        needs.push_back({group.id, Type::kMember, name, member->second->serial});
+        needs.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
     }
   }
   if (since.size() <= pool.told.size() + kMostGone) return;
--- a/src/xds/holding.hpp
+++ b/src/xds/held_resources.hpp
@@ -1,7 +1,7 @@
 // What a proxy holds of one type: resources by name. Of collections with thousands of members proxies hold
 // the same, so these are kept as a reference to a snapshot's own and what differs from it. Pure.
-#ifndef OPALSWITCH_XDS_HOLDING_HPP_
-#define OPALSWITCH_XDS_HOLDING_HPP_
+#ifndef OPALSWITCH_XDS_HELD_RESOURCES_HPP_
+#define OPALSWITCH_XDS_HELD_RESOURCES_HPP_
 
 #include <map>
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace opalswitch::xds {
 
-class Holding {
+class HeldResources {
  public:
   // Null if it is not held.
   ResourcePtr Find(const std::string& name) const;
@@ -21,28 +21,28 @@
   void Erase(const std::string& name);
   void EraseCollection(const std::string& collection);
   // From now on: all of these collections as `all` has them, and nothing else.
-  void Become(std::shared_ptr<const Table> all, std::set<std::string> collections);
+  void ShareCollections(std::shared_ptr<const ResourceTable> all, std::set<std::string> collections);
 
   template <typename Each>
   void ForEach(Each each) const {  // name, resource; in no order
     for (const std::string& collection : collections_) {
-      base_->ForEachIn(collection, [&](const std::string& name, const ResourcePtr& resource) {
-        if (!over_.contains(name)) each(name, resource);
+      base_->ForEachInCollection(collection, [&](const std::string& name, const ResourcePtr& resource) {
+        if (!overrides_.contains(name)) each(name, resource);
       });
     }
-    for (const auto& [name, resource] : over_) {
+    for (const auto& [name, resource] : overrides_) {
       if (resource) each(name, resource);
     }
   }
 
  private:
-  ResourcePtr InBase(const std::string& name) const;
+  ResourcePtr FindInBase(const std::string& name) const;
 
-  std::shared_ptr<const Table> base_;  // of which the collections below are held
+  std::shared_ptr<const ResourceTable> base_;  // of which the collections below are held
   std::set<std::string> collections_;
-  Resources over_;  // null: not held, though the base has it
+  ResourceMap overrides_;  // null: not held, though the base has it
 };
 
 }  // namespace opalswitch::xds
 
-#endif  // OPALSWITCH_XDS_HOLDING_HPP_
+#endif  // OPALSWITCH_XDS_HELD_RESOURCES_HPP_
--- a/src/xds/hub.cpp
+++ b/src/xds/hub.cpp
@@ -23,7 +23,7 @@
 
 // What of an answer is a lease, and until when: the time of sending counts, which is before the proxy's own.
 void Hub::Lease(Stream& stream, Out& out, Millis now) const {
-  if (out.response.type != Type::kEndpoint) return;
+  if (out.response.type != ResourceType::kEndpoint) return;
   for (const ResourcePtr& resource : out.response.resources) {
     const bool strict = strict_.contains(resource->name);
     stream.leases[resource->name] = strict ? now + options_.lease : kForEver;
@@ -50,7 +50,8 @@
   for (auto& [id, stream] : streams_) {
     for (const auto* const set : {&pools, &strict_}) {
       for (const std::string& pool : *set) {
-        if (pools.contains(pool) != strict_.contains(pool)) stream.session.Again(Type::kEndpoint, pool);
+        if (pools.contains(pool) != strict_.contains(pool))
+          stream.session.Again(ResourceType::kEndpoint, pool);
       }
     }
   }
@@ -91,10 +92,10 @@
     stream.group = grouping_ ? grouping_(node) : std::string();
   }
   const auto group = groups_.find(stream.group);
-  static const Snapshot kNothing{std::array<Resources, kTypes>()};
+  static const Snapshot kNothing{std::array<ResourceMap, kResourceTypeCount>()};
   const std::uint64_t answered = stream.session.acks() + stream.session.nacks();
   std::optional<Request> without;
-  if (request.type == Type::kEndpoint && !request.initial_versions.empty() && !strict_.empty()) {
+  if (request.type == ResourceType::kEndpoint && !request.initial_versions.empty() && !strict_.empty()) {
     without = request;
     std::erase_if(without->initial_versions,
                   [&](const auto& entry) { return strict_.contains(entry.first); });
@@ -108,7 +109,7 @@
     for (Lost& lost : lost_) {
       if (lost.proxy != stream.node.id) continue;
       std::erase_if(lost.leases, [&](const auto& entry) {
-        return stream.session.Accepted(Type::kEndpoint, entry.first) != nullptr;
+        return stream.session.Accepted(ResourceType::kEndpoint, entry.first) != nullptr;
       });
     }
   }
@@ -137,8 +138,8 @@
   for (const auto& [pool, until] : stream.leases) {
     if (until > now) lost.leases[pool] = until;
   }
-  lost.endpoints = stream.session.OldestOfAll(Type::kEndpoint);
-  lost.members = stream.session.OldestOfAll(Type::kMember);
+  lost.endpoints = stream.session.OldestOfAll(ResourceType::kEndpoint);
+  lost.members = stream.session.OldestOfAll(ResourceType::kLbEndpoint);
   streams_.erase(found);
   std::erase_if(lost_, [&](const Lost& other) {
     return std::all_of(other.leases.begin(), other.leases.end(),
@@ -171,7 +172,8 @@
     beat.stream = id;
     beat.heartbeat = true;
     std::vector<std::string> over;
-    const bool answered = stream.session.Answered(Type::kEndpoint) && stream.session.Answered(Type::kMember);
+    const bool answered = stream.session.Answered(ResourceType::kEndpoint) &&
+                          stream.session.Answered(ResourceType::kLbEndpoint);
     for (auto& [pool, until] : stream.leases) {
       if (until == kForEver) continue;
       if (until <= now) {  // it has let go of the list: once it listens again, it is told again
@@ -179,20 +181,20 @@
         continue;
       }
       // Members of the list that are not acknowledged yet: a drain may be among them.
-      if (!stream.session.Answered(Type::kMember)) continue;
+      if (!stream.session.Answered(ResourceType::kLbEndpoint)) continue;
       // Only what the proxy holds for certain, and is the newest that it was told: a lease on a list from
       // before a drain must run out. A change that waits for its like (weights) was not told yet, and is no
       // reason to.
-      if (!stream.session.Settled(Type::kEndpoint, pool)) continue;
+      if (!stream.session.Settled(ResourceType::kEndpoint, pool)) continue;
       beat.leased.push_back(pool);
     }
     for (const std::string& pool : over) {
       stream.leases.erase(pool);
-      stream.session.Again(Type::kEndpoint, pool);
+      stream.session.Again(ResourceType::kEndpoint, pool);
     }
     if (!over.empty()) Push(id, stream, now, out);
     if (beat.leased.empty()) continue;
-    auto response = stream.session.Heartbeat(Type::kEndpoint);
+    auto response = stream.session.Heartbeat(ResourceType::kEndpoint);
     if (!response) continue;
     for (const std::string& pool : beat.leased) stream.leases[pool] = now + options_.lease;
     beat.response = std::move(*response);
@@ -219,11 +221,11 @@
   };
   for (const auto& [id, stream] : streams_) {
     look(stream.node.id, stream.group, stream.leases,
-         [&](Type type, const std::string& name) { return stream.session.Oldest(type, name); });
+         [&](ResourceType type, const std::string& name) { return stream.session.Oldest(type, name); });
   }
   for (const Lost& lost : lost_) {
-    look(lost.proxy, lost.group, lost.leases, [&](Type type, const std::string& name) {
-      return (type == Type::kMember ? lost.members : lost.endpoints).Find(name);
+    look(lost.proxy, lost.group, lost.leases, [&](ResourceType type, const std::string& name) {
+      return (type == ResourceType::kLbEndpoint ? lost.members : lost.endpoints).Find(name);
     });
   }
   if (strict_.contains(pool) && now < begun_ + options_.lease)
@@ -247,8 +249,8 @@
   for (const auto& [id, stream] : streams_) {
     ProxyStatus status{stream.node, stream.group, true, stream.session.last_rejection(),
                        stream.session.nacks()};
-    for (std::size_t i = 0; i < kTypes; ++i) {
-      status.settled = status.settled && stream.session.Answered(static_cast<Type>(i));
+    for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
+      status.settled = status.settled && stream.session.Answered(static_cast<ResourceType>(i));
     }
     all.push_back(std::move(status));
   }
--- a/src/xds/hub.hpp
+++ b/src/xds/hub.hpp
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "opalswitch/policy.hpp"
-#include "xds/holding.hpp"
+#include "xds/held_resources.hpp"
 #include "xds/session.hpp"
 #include "xds/snapshot.hpp"
 
@@ -56,7 +56,7 @@
   // What a proxy of a group must hold, at that serial or a later one, or not at all.
   struct Need {
     std::string group;
-    Type type = Type::kEndpoint;
+    ResourceType type = ResourceType::kEndpoint;
     std::string name;
     std::uint64_t serial = 0;
   };
@@ -124,7 +124,7 @@
     std::string proxy;
     std::string group;
     std::map<std::string, Millis> leases;  // by pool
-    Holding endpoints, members;            // that it may go by
+    HeldResources endpoints, members;      // that it may go by
   };
 
   void Push(StreamId id, Stream& stream, Millis now, std::vector<Out>& out);
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -29,7 +29,7 @@
   return standing == Standing::kUp ? "up" : standing == Standing::kOut ? "out" : "draining";
 }
 
-const char* ShortName(Type type) {
+const char* ShortName(ResourceType type) {
   constexpr const char* kNames[] = {"CDS", "EDS", "LEDS", "LDS", "RDS"};
   return kNames[static_cast<std::size_t>(type)];
 }
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -43,7 +43,7 @@
   source->set_resource_api_version(core::V3);
 }
 
-void Put(Resources& resources, const std::string& name, const google::protobuf::Message& message,
+void Put(ResourceMap& resources, const std::string& name, const google::protobuf::Message& message,
          std::set<std::string> clusters = {}) {
   resources[name] = MakeResource(name, Bytes(message), std::move(clusters));
 }
@@ -157,7 +157,7 @@
 
 std::string RoutesName(const config::Listener& listener) { return "routes/" + listener.id; }
 
-void PutRoutes(Resources& resources, const config::Services& services, const config::Listener& listener,
+void PutRoutes(ResourceMap& resources, const config::Services& services, const config::Listener& listener,
                const ResourceOptions& options) {
   std::vector<std::string> domains = {"*"};
   std::vector<const config::RouteRule*> rules;
@@ -192,7 +192,7 @@
   Put(resources, routes.name(), routes, std::move(clusters));
 }
 
-void PutListener(Resources& resources, const config::Listener& from, const ResourceOptions& options) {
+void PutListener(ResourceMap& resources, const config::Listener& from, const ResourceOptions& options) {
   hcm::HttpConnectionManager manager;
   manager.set_stat_prefix(from.id);
   SetAds(manager.mutable_rds()->mutable_config_source());
@@ -268,8 +268,8 @@
 
 EndpointParts UnknownEndpoints(const std::string& pool, const ResourceOptions& options) {
   EndpointParts parts;
-  parts.list = MakeUnknown(pool);
-  if (options.each_endpoint) parts.members[Collections(pool)] = MakeUnknown(Collections(pool));
+  parts.list = MakePlaceholder(pool);
+  if (options.each_endpoint) parts.members[Collections(pool)] = MakePlaceholder(Collections(pool));
   return parts;
 }
 
@@ -338,17 +338,18 @@
   return parts;
 }
 
-std::array<Resources, kTypes> BuildRouting(const config::Services& services, const ResourceOptions& options) {
-  std::array<Resources, kTypes> all;
-  const auto of = [&](Type type) -> Resources& { return all[static_cast<std::size_t>(type)]; };
+std::array<ResourceMap, kResourceTypeCount> BuildRouting(const config::Services& services,
+                                                         const ResourceOptions& options) {
+  std::array<ResourceMap, kResourceTypeCount> all;
+  const auto of = [&](ResourceType type) -> ResourceMap& { return all[static_cast<std::size_t>(type)]; };
   for (const config::Pool& pool : services.pools) {
     if (options.pools.empty() || options.pools.contains(pool.id))
-      Put(of(Type::kCluster), pool.id, ToCluster(pool, options));
+      Put(of(ResourceType::kCluster), pool.id, ToCluster(pool, options));
   }
   for (const config::Listener& listener : services.listeners) {
     if (!options.listeners.empty() && !options.listeners.contains(listener.id)) continue;
-    PutListener(of(Type::kListener), listener, options);
-    PutRoutes(of(Type::kRoute), services, listener, options);
+    PutListener(of(ResourceType::kListener), listener, options);
+    PutRoutes(of(ResourceType::kRoute), services, listener, options);
   }
   return all;
 }
@@ -357,12 +358,12 @@
                                               const Assignments& assignments,
                                               const ResourceOptions& options) {
   auto all = BuildRouting(services, options);
-  for (const auto& [pool, cluster] : all[static_cast<std::size_t>(Type::kCluster)]) {
+  for (const auto& [pool, cluster] : all[static_cast<std::size_t>(ResourceType::kCluster)]) {
     const auto found = assignments.find(pool);
     EndpointParts parts =
         BuildEndpoints(pool, found == assignments.end() ? std::vector<Assigned>() : found->second, options);
-    all[static_cast<std::size_t>(Type::kEndpoint)][pool] = parts.list;
-    all[static_cast<std::size_t>(Type::kMember)].merge(parts.members);
+    all[static_cast<std::size_t>(ResourceType::kEndpoint)][pool] = parts.list;
+    all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].merge(parts.members);
   }
   return std::make_shared<Snapshot>(std::move(all));
 }
--- a/src/xds/resources.hpp
+++ b/src/xds/resources.hpp
@@ -42,7 +42,7 @@
 // One pool's endpoints: their list, and, where the list leads to them, its members.
 struct EndpointParts {
   ResourcePtr list;
-  Resources members;
+  ResourceMap members;
 };
 
 // Routes follow the file's order within each host pattern; see docs/design/02-xds.md.
@@ -65,7 +65,8 @@
                              const ResourceOptions& options, const ResourcePtr& before);
 
 // The clusters of all pools, and the listeners and routes to them.
-std::array<Resources, kTypes> BuildRouting(const config::Services& services, const ResourceOptions& options);
+std::array<ResourceMap, kResourceTypeCount> BuildRouting(const config::Services& services,
+                                                         const ResourceOptions& options);
 
 }  // namespace opalswitch::xds
 
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMostNames = 100;    // of a rejected answer, to be told
 constexpr std::size_t kResourceHead = 64;  // bytes of a resource in an answer beside its name and content
 
-bool IsWhole(Type type) { return type == Type::kCluster || type == Type::kListener; }
+bool IsWhole(ResourceType type) { return type == ResourceType::kCluster || type == ResourceType::kListener; }
 
 }  // namespace
 
@@ -21,15 +21,15 @@
   return !state.collections.empty() && state.collections.contains(std::string(CollectionOf(name)));
 }
 
-bool Session::Subscribed(Type type, const std::string& name) const { return Wants(Of(type), name); }
+bool Session::Subscribed(ResourceType type, const std::string& name) const { return Wants(Of(type), name); }
 
-bool Session::Settled(Type type, const std::string& name) const {
+bool Session::Settled(ResourceType type, const std::string& name) const {
   const State& state = Of(type);
   const ResourcePtr held = state.held.Find(name), latest = state.latest.Find(name);
   return held && latest && held->version == latest->version;
 }
 
-ResourcePtr Session::Oldest(Type type, const std::string& name) const {
+ResourcePtr Session::Oldest(ResourceType type, const std::string& name) const {
   const State& state = Of(type);
   if (ResourcePtr held = state.held.Find(name)) return held;
   for (const Sent& sent : state.out) {
@@ -39,9 +39,9 @@
   return nullptr;
 }
 
-Holding Session::OldestOfAll(Type type) const {
+HeldResources Session::OldestOfAll(ResourceType type) const {
   const State& state = Of(type);
-  Holding all = state.held;
+  HeldResources all = state.held;
   for (const Sent& sent : state.out) {
     for (const auto& [name, resource] : sent.changed) {
       if (!all.Find(name)) all.Set(name, resource);
@@ -50,7 +50,7 @@
   return all;
 }
 
-void Session::Again(Type type, const std::string& name) {
+void Session::Again(ResourceType type, const std::string& name) {
   State& state = Of(type);
   Forget(state, name);
   state.dirty = true;
@@ -95,7 +95,7 @@
   if (request.initial_versions.size() > bounds_.initial) return std::string("too many initial versions");
   Acknowledge(state, request, snapshot);
   if (form_ == Form::kDelta) return TakeDelta(state, request, snapshot);
-  if (request.type == Type::kMember) return std::nullopt;  // this form has no collections
+  if (request.type == ResourceType::kLbEndpoint) return std::nullopt;  // this form has no collections
   // A stale nonce: the proxy has not seen the newest answer yet, and will say it all again when it has.
   if (state.begun && request.nonce != state.newest) {
     ++stale_;
@@ -118,7 +118,7 @@
     // now.
     if (wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
       state.due = false;
-      snapshot.of(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
+      snapshot.table(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
         state.held.Set(name, resource);
         state.latest.Set(name, resource);
       });
@@ -140,7 +140,7 @@
     state.due = true;
     state.wildcard = IsWhole(request.type) && request.subscribe.empty();
     for (const auto& [name, version] : request.initial_versions) {
-      ResourcePtr resource = snapshot.of(request.type).Find(name);
+      ResourcePtr resource = snapshot.table(request.type).Find(name);
       if (!resource || resource->version != version)
         resource = std::make_shared<const Resource>(Resource{name, version, {}, {}, 0});
       state.held.Set(name, resource);
@@ -149,7 +149,7 @@
     }
   }
   const auto is_collection = [&](const std::string& name) {
-    return request.type == Type::kMember && name.ends_with("/*");
+    return request.type == ResourceType::kLbEndpoint && name.ends_with("/*");
   };
   for (const std::string& name : request.subscribe) {
     if (name == "*") {
@@ -202,17 +202,17 @@
       for (const std::string& name : sent->removed) state.held.Erase(name);
     }
     state.out.erase(state.out.begin(), end);
-    if (request.type == Type::kRoute && content) {
+    if (request.type == ResourceType::kRoute && content) {
       state.clusters.clear();
       state.held.ForEach([&](const std::string&, const ResourcePtr& resource) {
-        state.clusters.insert(resource->clusters.begin(), resource->clusters.end());
+        state.clusters.insert(resource->referenced_clusters.begin(), resource->referenced_clusters.end());
       });
-      Of(Type::kCluster).dirty = true;  // some may go now
+      Of(ResourceType::kCluster).dirty = true;  // some may go now
     }
     // It has all that there is: as do the others, who share one list of it.
     if (content && state.out.empty() && !state.dirty && state.seen == snapshot.serial() &&
         state.rejected.empty() && state.names.empty() && !state.wildcard && !state.collections.empty()) {
-      state.held.Become(snapshot.shared(request.type), state.collections);
+      state.held.ShareCollections(snapshot.shared_table(request.type), state.collections);
       state.latest = state.held;
     }
     return;
@@ -240,24 +240,25 @@
   last_rejection_ = std::move(rejection);
 }
 
-ResourcePtr Session::Desired(Type type, const std::string& name, const Snapshot& snapshot) const {
+ResourcePtr Session::Desired(ResourceType type, const std::string& name, const Snapshot& snapshot) const {
   const State& state = Of(type);
   if (!Wants(state, name)) return nullptr;
-  if (const ResourcePtr found = snapshot.of(type).Find(name)) {
-    if (found->unknown) return state.latest.Find(name);
+  if (const ResourcePtr found = snapshot.table(type).Find(name)) {
+    if (found->is_placeholder) return state.latest.Find(name);
     const auto rejected = state.rejected.find(name);
     if (rejected == state.rejected.end() || rejected->second != found->version) return found;
     return state.latest.Find(name);  // what it has, or will have, in place of that
   }
   // Break after make: a cluster that the proxy's routes still lead to stays until they don't.
-  if (type == Type::kCluster && Of(Type::kRoute).clusters.contains(name)) return state.held.Find(name);
+  if (type == ResourceType::kCluster && Of(ResourceType::kRoute).clusters.contains(name))
+    return state.held.Find(name);
   return nullptr;
 }
 
-Resources Session::DesiredAll(Type type, const Snapshot& snapshot) const {
+ResourceMap Session::DesiredAll(ResourceType type, const Snapshot& snapshot) const {
   const State& state = Of(type);
-  const Table& all = snapshot.of(type);
-  Resources desired;
+  const ResourceTable& all = snapshot.table(type);
+  ResourceMap desired;
   const auto add = [&](const std::string& name) {
     if (auto resource = Desired(type, name, snapshot)) desired[name] = std::move(resource);
   };
@@ -266,16 +267,16 @@
   } else {
     for (const std::string& name : state.names) add(name);
     for (const std::string& collection : state.collections) {
-      all.ForEachIn(collection, [&](const std::string& name, const ResourcePtr&) { add(name); });
+      all.ForEachInCollection(collection, [&](const std::string& name, const ResourcePtr&) { add(name); });
     }
   }
-  if (type == Type::kCluster) {
-    for (const std::string& name : Of(Type::kRoute).clusters) add(name);
+  if (type == ResourceType::kCluster) {
+    for (const std::string& name : Of(ResourceType::kRoute).clusters) add(name);
   }
   return desired;
 }
 
-void Session::Look(Type type, const std::string& name, const ResourcePtr& desired, Sent& sent) {
+void Session::Look(ResourceType type, const std::string& name, const ResourcePtr& desired, Sent& sent) {
   State& state = Of(type);
   const ResourcePtr known = state.latest.Find(name);
   if (desired) {
@@ -301,14 +302,14 @@
   }
 }
 
-Session::Sent Session::Compare(Type type, const Snapshot& snapshot,
+Session::Sent Session::Compare(ResourceType type, const Snapshot& snapshot,
                                const std::optional<std::set<std::string>>& names,
-                               std::optional<Resources>& whole) {
+                               std::optional<ResourceMap>& whole) {
   State& state = Of(type);
   Sent sent;
   if (names) {
     for (const std::string& name : *names) {
-      if (!snapshot.Unknown(type, name)) Look(type, name, Desired(type, name, snapshot), sent);
+      if (!snapshot.IsPlaceholder(type, name)) Look(type, name, Desired(type, name, snapshot), sent);
     }
     // Who is told of a change by the whole list is told of all.
     if ((sent.changed.empty() && sent.removed.empty()) || form_ == Form::kDelta || !IsWhole(type))
@@ -323,7 +324,7 @@
   });
   rest.insert(rest.end(), state.names.begin(), state.names.end());
   for (const std::string& name : rest) {
-    if (!whole->contains(name) && !snapshot.Unknown(type, name)) Look(type, name, nullptr, sent);
+    if (!whole->contains(name) && !snapshot.IsPlaceholder(type, name)) Look(type, name, nullptr, sent);
   }
   return sent;
 }
@@ -342,22 +343,22 @@
 
 // Routes and listeners wait until the clusters and endpoints that were sent before them are taken in.
 // Endpoints wait for nothing: a drain may be among them.
-bool Session::Waits(Type type) const {
-  if (type != Type::kListener && type != Type::kRoute) return false;
-  return !Of(Type::kCluster).out.empty() || !Of(Type::kEndpoint).out.empty();
+bool Session::Waits(ResourceType type) const {
+  if (type != ResourceType::kListener && type != ResourceType::kRoute) return false;
+  return !Of(ResourceType::kCluster).out.empty() || !Of(ResourceType::kEndpoint).out.empty();
 }
 
 std::optional<Response> Session::Next(const Snapshot& snapshot) {
   stuck_ = false;
-  for (std::size_t i = 0; i < kTypes; ++i) {
-    const Type type = static_cast<Type>(i);
+  for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
+    const ResourceType type = static_cast<ResourceType>(i);
     State& state = states_[i];
     if (!state.begun || Waits(type)) continue;
     if (!state.dirty && !state.due && state.seen == snapshot.serial()) continue;
     // Changes of a rejected answer go one at a time.
     if (!state.one_by_one.empty() && !state.out.empty()) continue;
     std::optional<std::set<std::string>> names(std::in_place);  // that may have changed; nothing if all may
-    if (state.dirty || state.due || !snapshot.ChangedSince(state.seen, type, *names)) names.reset();
+    if (state.dirty || state.due || !snapshot.AddNamesChangedSince(state.seen, type, *names)) names.reset();
     if (names && names->empty()) {
       state.seen = snapshot.serial();
       continue;
@@ -366,7 +367,7 @@
       stuck_ = true;
       continue;
     }
-    std::optional<Resources> whole;
+    std::optional<ResourceMap> whole;
     Sent sent = Compare(type, snapshot, names, whole);
     state.dirty = false;
     state.seen = snapshot.serial();
@@ -417,7 +418,7 @@
   return std::nullopt;
 }
 
-std::optional<Response> Session::Heartbeat(Type type) {
+std::optional<Response> Session::Heartbeat(ResourceType type) {
   State& state = Of(type);
   if (!state.begun || state.out.size() >= bounds_.unacknowledged / 2) return std::nullopt;
   Response response;
--- a/src/xds/session.hpp
+++ b/src/xds/session.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "xds/holding.hpp"
+#include "xds/held_resources.hpp"
 #include "xds/snapshot.hpp"
 
 namespace opalswitch::xds {
@@ -31,7 +31,7 @@
 
 // A DiscoveryRequest, or a DeltaDiscoveryRequest.
 struct Request {
-  Type type = Type::kCluster;
+  ResourceType type = ResourceType::kCluster;
   std::string nonce;                                // of the answer that it acknowledges; empty if none
   std::optional<std::string> error;                 // a NACK, with the proxy's reason
   std::string version;                              // state of the world: the last that the proxy accepted
@@ -41,7 +41,7 @@
 };
 
 struct Response {
-  Type type = Type::kCluster;
+  ResourceType type = ResourceType::kCluster;
   std::string version;
   std::string nonce;
   std::vector<ResourcePtr> resources;
@@ -49,7 +49,7 @@
 };
 
 struct Rejection {
-  Type type;
+  ResourceType type;
   std::vector<std::string> names;  // of the changes in the rejected answer
   std::string reason;              // as the proxy words it, shortened
 };
@@ -68,21 +68,21 @@
 
   // An answer that changes nothing, to renew leases; nothing if the proxy owes too many acknowledgements
   // already.
-  std::optional<Response> Heartbeat(Type type);
+  std::optional<Response> Heartbeat(ResourceType type);
 
   // What the proxy is known to hold of a resource, as last accepted; null if nothing. One that it said it has
   // from elsewhere has serial 0.
-  ResourcePtr Accepted(Type type, const std::string& name) const { return Of(type).held.Find(name); }
+  ResourcePtr Accepted(ResourceType type, const std::string& name) const { return Of(type).held.Find(name); }
   // The oldest that the proxy may go by: what it has accepted, else the first that is on its way.
-  ResourcePtr Oldest(Type type, const std::string& name) const;
-  Holding OldestOfAll(Type type) const;
+  ResourcePtr Oldest(ResourceType type, const std::string& name) const;
+  HeldResources OldestOfAll(ResourceType type) const;
   // Whether the proxy has accepted the newest version that it was sent.
-  bool Settled(Type type, const std::string& name) const;
+  bool Settled(ResourceType type, const std::string& name) const;
   // Whether it has answered all that it was sent.
-  bool Answered(Type type) const { return Of(type).out.empty(); }
+  bool Answered(ResourceType type) const { return Of(type).out.empty(); }
   // The proxy does not have the resource any more, though it was told: it is told again.
-  void Again(Type type, const std::string& name);
-  bool Subscribed(Type type, const std::string& name) const;
+  void Again(ResourceType type, const std::string& name);
+  bool Subscribed(ResourceType type, const std::string& name) const;
   // Whether it is to be told of something and can't be, since it acknowledges nothing.
   bool stuck() const { return stuck_; }
 
@@ -94,7 +94,7 @@
  private:
   struct Sent {
     std::string nonce;
-    Resources changed;
+    ResourceMap changed;
     std::set<std::string> removed;
   };
   struct State {
@@ -103,8 +103,8 @@
     bool due = false;  // an answer is owed even if nothing has changed
     std::set<std::string> names;
     std::set<std::string> collections;            // of members, asked for whole
-    Holding held;                                 // accepted
-    Holding latest;                               // the same, once all answers on their way are accepted
+    HeldResources held;                           // accepted
+    HeldResources latest;                         // the same, once all answers on their way are accepted
     std::set<std::string> missing;                // delta: asked for, not there, and told so
     std::deque<Sent> out;                         // not acknowledged, oldest first
     std::string newest;                           // nonce of the newest answer
@@ -115,8 +115,8 @@
     bool dirty = true;                            // and more than that has changed since
   };
 
-  State& Of(Type type) { return states_[static_cast<std::size_t>(type)]; }
-  const State& Of(Type type) const { return states_[static_cast<std::size_t>(type)]; }
+  State& Of(ResourceType type) { return states_[static_cast<std::size_t>(type)]; }
+  const State& Of(ResourceType type) const { return states_[static_cast<std::size_t>(type)]; }
   std::optional<std::string> TakeNames(State& state, const Request& request, const Snapshot& snapshot);
   std::optional<std::string> TakeDelta(State& state, const Request& request, const Snapshot& snapshot);
   void Acknowledge(State& state, const Request& request, const Snapshot& snapshot);
@@ -128,22 +128,22 @@
   static void Note(State& state, const Sent& sent);
   bool Wants(const State& state, const std::string& name) const;
   // What the proxy should hold of a name now, rejected versions left aside; null if nothing.
-  ResourcePtr Desired(Type type, const std::string& name, const Snapshot& snapshot) const;
+  ResourcePtr Desired(ResourceType type, const std::string& name, const Snapshot& snapshot) const;
   // The same of all names.
-  Resources DesiredAll(Type type, const Snapshot& snapshot) const;
+  ResourceMap DesiredAll(ResourceType type, const Snapshot& snapshot) const;
   // What one name adds to the next answer.
-  void Look(Type type, const std::string& name, const ResourcePtr& desired, Sent& sent);
+  void Look(ResourceType type, const std::string& name, const ResourcePtr& desired, Sent& sent);
   // All that is to be told of a type: of these names, or of all if there are none to go by. `whole` gets what
   // the proxy should hold, where that had to be found.
-  Sent Compare(Type type, const Snapshot& snapshot, const std::optional<std::set<std::string>>& names,
-               std::optional<Resources>& whole);
+  Sent Compare(ResourceType type, const Snapshot& snapshot, const std::optional<std::set<std::string>>& names,
+               std::optional<ResourceMap>& whole);
   // Cuts an answer to what may be sent at once; the rest stays to be told.
   void Cut(State& state, Sent& sent) const;
-  bool Waits(Type type) const;
+  bool Waits(ResourceType type) const;
 
   const Form form_;
   const SessionBounds bounds_;
-  std::array<State, kTypes> states_;
+  std::array<State, kResourceTypeCount> states_;
   std::uint64_t nonces_ = 0, acks_ = 0, nacks_ = 0, stale_ = 0;
   bool stuck_ = false;
   std::optional<Rejection> last_rejection_;
--- a/src/xds/wire.cpp
+++ b/src/xds/wire.cpp
@@ -20,7 +20,7 @@
   resource->mutable_ttl()->set_nanos(static_cast<std::int32_t>(nanos % 1000000000));
 }
 
-void SetAny(google::protobuf::Any* any, const Resource& resource, Type type) {
+void SetAny(google::protobuf::Any* any, const Resource& resource, ResourceType type) {
   any->set_type_url(std::string(TypeUrl(type)));
   any->set_value(resource.bytes);
 }
@@ -49,7 +49,7 @@
 }
 
 std::optional<Request> ToRequest(const discovery::DiscoveryRequest& from) {
-  const auto type = TypeOf(from.type_url());
+  const auto type = TypeFromUrl(from.type_url());
   if (!type) return std::nullopt;
   Request request;
   request.type = *type;
@@ -61,7 +61,7 @@
 }
 
 std::optional<Request> ToRequest(const discovery::DeltaDiscoveryRequest& from) {
-  const auto type = TypeOf(from.type_url());
+  const auto type = TypeFromUrl(from.type_url());
   if (!type) return std::nullopt;
   Request request;
   request.type = *type;
--- a/tests/standins/xds_client.hpp
+++ b/tests/standins/xds_client.hpp
@@ -73,7 +73,7 @@
     context_.reset();
   }
 
-  void Subscribe(xds::Type type, std::vector<std::string> names = {}) {
+  void Subscribe(xds::ResourceType type, std::vector<std::string> names = {}) {
     const std::lock_guard lock(mutex_);
     names_[type] = names;
     if (!delta_) return SendWhole(type, "", nonces_[type], false);
@@ -95,16 +95,16 @@
     return changed_.wait_for(lock, std::chrono::seconds(30), holds);
   }
   // These are for `holds`, and for whoever has waited.
-  const std::map<std::string, Held>& held(xds::Type type) { return held_[type]; }
-  std::string Version(xds::Type type, const std::string& name) {
+  const std::map<std::string, Held>& held(xds::ResourceType type) { return held_[type]; }
+  std::string Version(xds::ResourceType type, const std::string& name) {
     const auto found = held_[type].find(name);
     return found == held_[type].end() ? "" : found->second.version;
   }
   bool ended() const { return ended_; }
   grpc::Status status() const { return status_; }
-  int answers(xds::Type type) { return answers_[type]; }
+  int answers(xds::ResourceType type) { return answers_[type]; }
   int heartbeats() const { return heartbeats_; }
-  std::vector<xds::Type> order() const { return order_; }
+  std::vector<xds::ResourceType> order() const { return order_; }
   // From now on answers are neither read nor answered; what it holds it goes by, until its lease is over.
   void Ignore() { ignores_ = true; }
 
@@ -136,24 +136,24 @@
   bool Routes(const std::string& pool, const std::string& address, bool locked = false) {
     std::unique_lock lock(mutex_, std::defer_lock);
     if (!locked) lock.lock();
-    const auto found = held_[xds::Type::kEndpoint].find(pool);
-    if (found == held_[xds::Type::kEndpoint].end()) return false;
+    const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
+    if (found == held_[xds::ResourceType::kEndpoint].end()) return false;
     if (found->second.until && Clock::now() >= *found->second.until) return false;
     return WeightIn(found->second, address) > 0;
   }
   // The same, whatever its lease: for what it was told. From `holds`, or once it has waited.
   bool RoutesAsHeld(const std::string& pool, const std::string& address) {
-    const auto found = held_[xds::Type::kEndpoint].find(pool);
-    return found != held_[xds::Type::kEndpoint].end() && WeightIn(found->second, address) > 0;
+    const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
+    return found != held_[xds::ResourceType::kEndpoint].end() && WeightIn(found->second, address) > 0;
   }
   // Of an endpoint that it may route to; 0 if it may not.
   std::uint32_t Weight(const std::string& pool, const std::string& address) {
     const std::lock_guard lock(mutex_);
-    const auto found = held_[xds::Type::kEndpoint].find(pool);
-    return found == held_[xds::Type::kEndpoint].end() ? 0 : WeightIn(found->second, address);
+    const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
+    return found == held_[xds::ResourceType::kEndpoint].end() ? 0 : WeightIn(found->second, address);
   }
 
-  std::function<Reply(xds::Type, const std::vector<std::string>& names)> reply = [](auto, auto&) {
+  std::function<Reply(xds::ResourceType, const std::vector<std::string>& names)> reply = [](auto, auto&) {
     return Reply::kAck;
   };
 
@@ -175,8 +175,8 @@
   void Record() {
     Use use;
     use.since = Clock::now();
-    const auto found = held_[xds::Type::kEndpoint].find(recorded_pool_);
-    if (found != held_[xds::Type::kEndpoint].end()) {
+    const auto found = held_[xds::ResourceType::kEndpoint].find(recorded_pool_);
+    if (found != held_[xds::ResourceType::kEndpoint].end()) {
       use.until = found->second.until.value_or(Clock::time_point::max());
       if (!uses_.empty() && uses_.back().version == found->second.version) {
         use.addresses = uses_.back().addresses;
@@ -203,7 +203,7 @@
     request.mutable_node()->set_id(id_);
     request.mutable_node()->set_cluster(cluster_);
   }
-  void SendWhole(xds::Type type, const std::string& version, const std::string& nonce, bool bad) {
+  void SendWhole(xds::ResourceType type, const std::string& version, const std::string& nonce, bool bad) {
     discovery::DiscoveryRequest request;
     Introduce(request);
     request.set_type_url(std::string(xds::TypeUrl(type)));
@@ -247,10 +247,10 @@
     changed_.notify_all();
   }
 
-  static std::string NameOf(xds::Type type, const discovery::Resource& resource) {
+  static std::string NameOf(xds::ResourceType type, const discovery::Resource& resource) {
     if (!resource.name().empty()) return resource.name();
     envoy::config::endpoint::v3::ClusterLoadAssignment list;  // of all types the name is field 1
-    return list.ParseFromString(resource.resource().value()) && type <= xds::Type::kRoute
+    return list.ParseFromString(resource.resource().value()) && type <= xds::ResourceType::kRoute
                ? list.cluster_name()
                : "";
   }
@@ -258,7 +258,7 @@
   void Take(const std::string& url, const std::string& nonce, const std::string& version,
             const std::vector<discovery::Resource>& resources, const std::vector<std::string>& removed) {
     const std::lock_guard lock(mutex_);
-    const auto type = xds::TypeOf(url);
+    const auto type = xds::TypeFromUrl(url);
     if (!type || ignores_) return;
     order_.push_back(*type);
     std::vector<std::string> names;
@@ -284,7 +284,7 @@
         }
       }
       for (const std::string& name : removed) held_[*type].erase(name);
-      if (!recorded_pool_.empty() && *type == xds::Type::kEndpoint) Record();
+      if (!recorded_pool_.empty() && *type == xds::ResourceType::kEndpoint) Record();
     }
     if (what != Reply::kNothing) {
       const std::string& said = what == Reply::kStale ? before : nonce;
@@ -315,11 +315,11 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   bool first_ = true;
-  std::map<xds::Type, std::vector<std::string>> names_;
-  std::map<xds::Type, std::string> nonces_;
-  std::map<xds::Type, std::map<std::string, Held>> held_;
-  std::map<xds::Type, int> answers_;
-  std::vector<xds::Type> order_;
+  std::map<xds::ResourceType, std::vector<std::string>> names_;
+  std::map<xds::ResourceType, std::string> nonces_;
+  std::map<xds::ResourceType, std::map<std::string, Held>> held_;
+  std::map<xds::ResourceType, int> answers_;
+  std::vector<xds::ResourceType> order_;
   struct Use {
     Clock::time_point since, until;
     std::string version;
@@ -336,16 +336,18 @@
 // Connects the proxy, to be told of all that a file with pools "one" and "two" and a listener "in" has.
 inline void SubscribeToAll(XdsClient& client) {
   client.Connect();
-  client.Subscribe(xds::Type::kCluster);
-  client.Subscribe(xds::Type::kEndpoint, {"one", "two"});
-  client.Subscribe(xds::Type::kListener);
-  client.Subscribe(xds::Type::kRoute, {"routes/in"});
+  client.Subscribe(xds::ResourceType::kCluster);
+  client.Subscribe(xds::ResourceType::kEndpoint, {"one", "two"});
+  client.Subscribe(xds::ResourceType::kListener);
+  client.Subscribe(xds::ResourceType::kRoute, {"routes/in"});
 }
 
 // Whether it was told of all of that. From `holds`, or once it has waited.
 inline bool IsWhole(XdsClient& client) {
-  return client.held(xds::Type::kCluster).size() == 2 && client.held(xds::Type::kEndpoint).size() == 2 &&
-         client.held(xds::Type::kListener).size() == 1 && client.held(xds::Type::kRoute).size() == 1;
+  return client.held(xds::ResourceType::kCluster).size() == 2 &&
+         client.held(xds::ResourceType::kEndpoint).size() == 2 &&
+         client.held(xds::ResourceType::kListener).size() == 1 &&
+         client.held(xds::ResourceType::kRoute).size() == 1;
 }
 
 inline bool MakeWhole(XdsClient& client) {
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -11,7 +11,7 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Type;
+using xds::ResourceType;
 
 struct World {
   World() {
@@ -100,10 +100,10 @@
   World world;
   Process process(world.Run());
   XdsClient client(World::PortOf(process), true, "mute");
-  client.reply = [](Type, auto&) { return XdsClient::Reply::kNothing; };
+  client.reply = [](ResourceType, auto&) { return XdsClient::Reply::kNothing; };
   client.Connect();
-  client.Subscribe(Type::kEndpoint, {"two"});  // static: no lease ends the wait
-  ASSERT_TRUE(client.Await([&] { return client.held(Type::kEndpoint).size() == 1; }));
+  client.Subscribe(ResourceType::kEndpoint, {"two"});  // static: no lease ends the wait
+  ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
   const Said drain = RunProgram("drain a --wait --timeout 4 " + world.Socket());
   EXPECT_EQ(drain.code, 4) << drain.text;
   EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
@@ -118,7 +118,7 @@
   XdsClient client(port, true, "proxy-1"), deaf(port, true, "deaf");
   ASSERT_TRUE(MakeWhole(client));
   deaf.Connect();
-  deaf.Subscribe(Type::kEndpoint, {"one"});
+  deaf.Subscribe(ResourceType::kEndpoint, {"one"});
   ASSERT_TRUE(deaf.Await([&] { return deaf.Routes("one", "10.0.0.1", true); }));
   // From here on it takes nothing in; it goes by its lease.
   deaf.Ignore();
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -14,8 +14,8 @@
 using xds::Control;
 using xds::Hub;
 using xds::Request;
+using xds::ResourceType;
 using xds::Session;
-using xds::Type;
 
 std::shared_ptr<const config::Services> File(const std::string& more) {
   return Parsed(kListenerAndClasses + R"([[pool]]
@@ -49,8 +49,10 @@
     ASSERT_TRUE(hub.Open(stream, Session::Form::kDelta, now));
     nodes[stream] = node;
     mute[stream] = !answers;
-    for (const auto& [type, names] : std::map<Type, std::vector<std::string>>{
-             {Type::kCluster, {}}, {Type::kEndpoint, {"one", "two"}}, {Type::kRoute, {"routes/in"}}}) {
+    for (const auto& [type, names] :
+         std::map<ResourceType, std::vector<std::string>>{{ResourceType::kCluster, {}},
+                                                          {ResourceType::kEndpoint, {"one", "two"}},
+                                                          {ResourceType::kRoute, {"routes/in"}}}) {
       Request request;
       request.type = type;
       request.subscribe = names;
@@ -67,7 +69,7 @@
         for (const auto& resource : out.response.resources) {
           held[resource->name] = resource->bytes;
           ++told[out.stream];
-          if (out.response.type == Type::kEndpoint) AddCollections(*resource, collections);
+          if (out.response.type == ResourceType::kEndpoint) AddCollections(*resource, collections);
         }
         for (const std::string& name : out.response.removed) held.erase(name);
         if (mute[out.stream]) continue;
@@ -76,7 +78,7 @@
         ack.nonce = out.response.nonce;
         Append(next, hub.Take(out.stream, nodes[out.stream], ack, now));
         Request members;
-        members.type = Type::kMember;
+        members.type = ResourceType::kLbEndpoint;
         for (const std::string& name : collections) {
           if (subscribed[out.stream].insert(name).second) members.subscribe.push_back(name);
         }
@@ -111,13 +113,13 @@
             endpoint.load_balancing_weight().value();
     };
     envoy::config::endpoint::v3::ClusterLoadAssignment list;
-    if (!list.ParseFromString(holds[stream][Type::kEndpoint][pool])) return usable;
+    if (!list.ParseFromString(holds[stream][ResourceType::kEndpoint][pool])) return usable;
     for (const auto& locality : list.endpoints()) {
       for (const auto& endpoint : locality.lb_endpoints()) add(endpoint);
       if (!locality.has_leds_cluster_locality_config()) continue;
       std::string collection = locality.leds_cluster_locality_config().leds_collection_name();
       collection.pop_back();
-      for (const auto& [name, bytes] : holds[stream][Type::kMember]) {
+      for (const auto& [name, bytes] : holds[stream][ResourceType::kLbEndpoint]) {
         envoy::config::endpoint::v3::LbEndpoint member;
         if (name.starts_with(collection) && member.ParseFromString(bytes)) add(member);
       }
@@ -131,7 +133,7 @@
   Control control;
   std::map<Hub::StreamId, xds::ProxyNode> nodes;
   std::map<Hub::StreamId, bool> mute;
-  std::map<Hub::StreamId, std::map<Type, std::map<std::string, std::string>>> holds;
+  std::map<Hub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> holds;
   std::map<Hub::StreamId, std::set<std::string>> subscribed;
   std::map<Hub::StreamId, int> told;  // resources
 };
@@ -142,7 +144,7 @@
   World world;
   ASSERT_TRUE(world.hub.Open(1, Session::Form::kDelta, world.now));
   Request back;
-  back.type = Type::kEndpoint;
+  back.type = ResourceType::kEndpoint;
   back.subscribe = {"one", "two"};
   back.initial_versions = {{"one", "of an earlier run"}};
   for (const Hub::Out& out : world.hub.Take(1, {"p", "", ""}, back, world.now)) {
@@ -152,7 +154,7 @@
   world.nodes[1] = {"p", "", ""};
   world.Deliver(world.control.Told("two", {0, true, {Node("b", 2)}}, world.now));
   EXPECT_EQ(world.Usable(1, "two").size(), 1u);
-  EXPECT_FALSE(world.holds[1][Type::kEndpoint].contains("one"));
+  EXPECT_FALSE(world.holds[1][ResourceType::kEndpoint].contains("one"));
   world.Deliver(world.control.Told("one", {0, true, {Node("a", 1)}}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 1u);
 }
@@ -260,12 +262,13 @@
     world.Deliver(world.control.Told(pool, {0, true, {Node("a", 1)}}, world.now));
   world.Connect(1, {"edge-7", "", ""});
   world.Connect(2, {"other", "", ""});
-  EXPECT_EQ(world.holds[1][Type::kCluster].size(), 1u);
-  EXPECT_FALSE(world.holds[1][Type::kEndpoint].contains("one"));
-  EXPECT_EQ(world.holds[2][Type::kCluster].size(), 2u);
+  EXPECT_EQ(world.holds[1][ResourceType::kCluster].size(), 1u);
+  EXPECT_FALSE(world.holds[1][ResourceType::kEndpoint].contains("one"));
+  EXPECT_EQ(world.holds[2][ResourceType::kCluster].size(), 2u);
   // "/one" must not fall through to the route of pool two.
-  EXPECT_EQ(world.holds[1][Type::kRoute]["routes/in"].find("\x0a\x03one"), std::string::npos);
-  EXPECT_NE(world.holds[1][Type::kRoute]["routes/in"], world.holds[2][Type::kRoute]["routes/in"]);
+  EXPECT_EQ(world.holds[1][ResourceType::kRoute]["routes/in"].find("\x0a\x03one"), std::string::npos);
+  EXPECT_NE(world.holds[1][ResourceType::kRoute]["routes/in"],
+            world.holds[2][ResourceType::kRoute]["routes/in"]);
 }
 
 TEST(XdsControl, EndpointsOneByOneComeAsACollectionAndAChangeTellsOne) {
@@ -306,7 +309,8 @@
   EXPECT_EQ(world.Usable(1, "one").size(), 1u);
   world.Deliver(
       world.control.Configure(File("[control]\ngroup = [{ id = \"all\", pools = [\"two\"] }]\n"), world.now));
-  EXPECT_FALSE(world.holds[1][Type::kCluster].contains("one"));  // another group, on the stream that it has
+  EXPECT_FALSE(
+      world.holds[1][ResourceType::kCluster].contains("one"));  // another group, on the stream that it has
   EXPECT_EQ(world.Usable(1, "two").size(), 1u);
 }
 
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -14,16 +14,16 @@
 using xds::Hub;
 using xds::Request;
 using xds::Resource;
-using xds::Resources;
+using xds::ResourceMap;
+using xds::ResourceType;
 using xds::Session;
 using xds::Snapshot;
-using xds::Type;
 
 std::shared_ptr<const Snapshot> Lists(const std::map<std::string, std::string>& versions) {
-  std::array<Resources, xds::kTypes> all;
+  std::array<ResourceMap, xds::kResourceTypeCount> all;
   for (const auto& [name, version] : versions) {
     static std::uint64_t serials = 0;
-    all[static_cast<std::size_t>(Type::kEndpoint)][name] =
+    all[static_cast<std::size_t>(ResourceType::kEndpoint)][name] =
         std::make_shared<Resource>(Resource{name, version, version, {}, ++serials});
   }
   return std::make_shared<Snapshot>(std::move(all));
@@ -31,7 +31,7 @@
 
 Request Subscribe(const std::string& pool) {
   Request request;
-  request.type = Type::kEndpoint;
+  request.type = ResourceType::kEndpoint;
   request.names = request.subscribe = {pool};
   return request;
 }
@@ -39,8 +39,8 @@
 // Whom a drain that is in this list waits for.
 std::vector<Hub::Waiting> WaitingFor(const Hub& hub, const std::shared_ptr<const Snapshot>& drained,
                                      Millis now) {
-  const auto list = drained->of(Type::kEndpoint).Find("p");
-  return hub.WaitingFor("p", {{"", Type::kEndpoint, "p", list->serial}}, now);
+  const auto list = drained->table(ResourceType::kEndpoint).Find("p");
+  return hub.WaitingFor("p", {{"", ResourceType::kEndpoint, "p", list->serial}}, now);
 }
 
 // A proxy: it takes messages as they arrive, and goes by a list only while its lease runs.
@@ -212,7 +212,7 @@
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(WaitingFor(hub, drained, 2e12).size(), 1u);
   Request ack;
-  ack.type = Type::kEndpoint;
+  ack.type = ResourceType::kEndpoint;
   ack.nonce = told[0].response.nonce;
   hub.Take(2, {"a", "", ""}, ack, 2e12);
   EXPECT_TRUE(WaitingFor(hub, drained, 2e12).empty());  // it is back, and has taken the drain in
@@ -236,7 +236,7 @@
   hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 0);
   ASSERT_TRUE(hub.Open(1, Session::Form::kDelta, 0));
   Request back;
-  back.type = Type::kEndpoint;
+  back.type = ResourceType::kEndpoint;
   back.subscribe = {"p", "q"};
   back.initial_versions = {{"p", "1"}, {"q", "1"}};
   const auto told = hub.Take(1, {"a", "", ""}, back, 0);
--- a/tests/xds_resources_test.cpp
+++ b/tests/xds_resources_test.cpp
@@ -15,8 +15,8 @@
 
 namespace route = envoy::config::route::v3;
 using xds::Assigned;
+using xds::ResourceType;
 using xds::Standing;
-using xds::Type;
 
 std::shared_ptr<const config::Services> File(const std::string& routes) {
   return Parsed(kListenerAndClasses + R"([request]
@@ -35,9 +35,9 @@
 }
 
 template <typename Message>
-Message Read(const xds::Snapshot& snapshot, Type type, const std::string& name) {
+Message Read(const xds::Snapshot& snapshot, ResourceType type, const std::string& name) {
   Message message;
-  const xds::ResourcePtr found = snapshot.of(type).Find(name);
+  const xds::ResourcePtr found = snapshot.table(type).Find(name);
   if (!found || !message.ParseFromString(found->bytes)) {
     ADD_FAILURE() << name;
   }
@@ -116,7 +116,7 @@
     }
     const routing::RouteTable own(table);
     const auto snapshot = xds::BuildSnapshot(*services, {}, {});
-    const auto routes = Read<route::RouteConfiguration>(*snapshot, Type::kRoute, "routes/in");
+    const auto routes = Read<route::RouteConfiguration>(*snapshot, ResourceType::kRoute, "routes/in");
     for (int q = 0; q < 80; ++q) {
       const std::string host =
           pick(std::vector<std::string>{"a.org", "b.a.org", "x.a.org", "c.net", "d.net", "x.org", "org"});
@@ -138,7 +138,7 @@
       "[[route]]\nid = \"v\"\nmethods = [\"GET\"]\npool = \"one\"\nclass = \"view\"\n"
       "[[route]]\nid = \"c\"\npool = \"one\"\nclass = \"change\"\n");
   const auto snapshot = xds::BuildSnapshot(*services, {}, {});
-  const auto routes = Read<route::RouteConfiguration>(*snapshot, Type::kRoute, "routes/in");
+  const auto routes = Read<route::RouteConfiguration>(*snapshot, ResourceType::kRoute, "routes/in");
   ASSERT_EQ(routes.virtual_hosts_size(), 1);
   ASSERT_EQ(routes.virtual_hosts(0).routes_size(), 2);
   const auto& view = routes.virtual_hosts(0).routes(0).route();
@@ -146,7 +146,7 @@
   EXPECT_EQ(view.retry_policy().num_retries().value(), 2u);
   EXPECT_EQ(view.timeout().nanos(), 800000000);
   EXPECT_EQ(routes.virtual_hosts(0).routes(1).route().retry_policy().retry_on(), "connect-failure");
-  const auto cluster = Read<envoy::config::cluster::v3::Cluster>(*snapshot, Type::kCluster, "one");
+  const auto cluster = Read<envoy::config::cluster::v3::Cluster>(*snapshot, ResourceType::kCluster, "one");
   EXPECT_EQ(cluster.circuit_breakers().thresholds(0).max_requests().value(), 7u);
   EXPECT_TRUE(cluster.eds_cluster_config().eds_config().has_ads());
 }
@@ -162,12 +162,15 @@
   drained["one"][0].standing = Standing::kDraining;
   const auto a = xds::BuildSnapshot(*services, one, {}), b = xds::BuildSnapshot(*services, same, {}),
              c = xds::BuildSnapshot(*services, drained, {});
-  for (const Type type : {Type::kCluster, Type::kEndpoint, Type::kListener, Type::kRoute}) {
+  for (const ResourceType type :
+       {ResourceType::kCluster, ResourceType::kEndpoint, ResourceType::kListener, ResourceType::kRoute}) {
     EXPECT_EQ(a->version(type), b->version(type));
-    EXPECT_EQ(a->version(type) == c->version(type), type != Type::kEndpoint);
+    EXPECT_EQ(a->version(type) == c->version(type), type != ResourceType::kEndpoint);
   }
-  EXPECT_EQ(a->of(Type::kEndpoint).Find("two")->version, c->of(Type::kEndpoint).Find("two")->version);
-  const auto endpoints = Read<envoy::config::endpoint::v3::ClusterLoadAssignment>(*c, Type::kEndpoint, "one");
+  EXPECT_EQ(a->table(ResourceType::kEndpoint).Find("two")->version,
+            c->table(ResourceType::kEndpoint).Find("two")->version);
+  const auto endpoints =
+      Read<envoy::config::endpoint::v3::ClusterLoadAssignment>(*c, ResourceType::kEndpoint, "one");
   ASSERT_EQ(endpoints.endpoints_size(), 1);
   EXPECT_EQ(endpoints.endpoints(0).lb_endpoints(0).health_status(), envoy::config::core::v3::DRAINING);
   EXPECT_EQ(endpoints.endpoints(0).lb_endpoints(1).load_balancing_weight().value(), 50u);
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -14,8 +14,8 @@
 
 using Reply = XdsClient::Reply;
 using xds::Hub;
+using xds::ResourceType;
 using xds::Standing;
-using xds::Type;
 
 std::shared_ptr<const config::Services> Services() {
   return Parsed(kListenerAndClasses + R"([[pool]]
@@ -78,13 +78,13 @@
   XdsClient client(world.server->port(), GetParam());
   ASSERT_TRUE(MakeWhole(client));
   EXPECT_TRUE(client.Routes("one", "10.0.0.1"));
-  EXPECT_TRUE(client.held(Type::kEndpoint).at("one").until);   // a lease
-  EXPECT_FALSE(client.held(Type::kEndpoint).at("two").until);  // none
+  EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").until);   // a lease
+  EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").until);  // none
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() >= 2; }));
-  const std::string before = client.Version(Type::kEndpoint, "one");
+  const std::string before = client.Version(ResourceType::kEndpoint, "one");
   world.Publish(Nodes(Standing::kDraining), true);
-  ASSERT_TRUE(client.Await([&] { return client.Version(Type::kEndpoint, "one") != before; }));
-  ASSERT_TRUE(client.Await([&] { return client.Version(Type::kEndpoint, "two") != before; }));
+  ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "one") != before; }));
+  ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "two") != before; }));
   EXPECT_FALSE(client.Routes("one", "10.0.0.1"));
   EXPECT_TRUE(client.Routes("one", "10.0.0.2"));
 }
@@ -96,11 +96,11 @@
   for (int boundary = 0; boundary < 6; ++boundary) {
     XdsClient client(world.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
     int seen = 0;
-    client.reply = [&](Type, auto&) { return ++seen > boundary ? Reply::kNothing : Reply::kAck; };
+    client.reply = [&](ResourceType, auto&) { return ++seen > boundary ? Reply::kNothing : Reply::kAck; };
     SubscribeToAll(client);
     client.Await([&] { return seen >= std::min(boundary, 4); });
     client.Drop();
-    client.reply = [](Type, auto&) { return Reply::kAck; };
+    client.reply = [](ResourceType, auto&) { return Reply::kAck; };
     world.Publish(Nodes(boundary % 2 == 0 ? Standing::kDraining : Standing::kUp), true);
     SubscribeToAll(client);
     ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << boundary;
@@ -133,13 +133,14 @@
 TEST_P(XdsServer, ANackKeepsTheOthersGoingAndIsCounted) {
   World world;
   XdsClient client(world.server->port(), GetParam());
-  client.reply = [](Type type, const auto& names) {
-    const bool bad = type == Type::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
+  client.reply = [](ResourceType type, const auto& names) {
+    const bool bad =
+        type == ResourceType::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
     return bad ? Reply::kNack : Reply::kAck;
   };
   SubscribeToAll(client);
-  ASSERT_TRUE(client.Await([&] { return client.held(Type::kCluster).contains("two"); }));
-  EXPECT_FALSE(client.held(Type::kCluster).contains("one"));
+  ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
+  EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
   EXPECT_TRUE(world.Await([](const auto& figures) { return figures.nacks >= 2; }));
   std::optional<xds::Rejection> rejection;
   world.server->With([&](Hub& hub, Millis) {
@@ -156,7 +157,7 @@
   World world(options);
   XdsClient silent(world.server->port(), GetParam(), "silent"),
       good(world.server->port(), GetParam(), "good");
-  silent.reply = [](Type, auto&) { return Reply::kNothing; };
+  silent.reply = [](ResourceType, auto&) { return Reply::kNothing; };
   SubscribeToAll(good);
   SubscribeToAll(silent);
   ASSERT_TRUE(silent.Await([&] { return silent.ended(); }));
@@ -172,7 +173,8 @@
   SubscribeToAll(other);
   ASSERT_TRUE(client.Await([&] { return IsWhole(client); }));
   ASSERT_TRUE(other.Await([&] { return IsWhole(other); }));
-  for (const Type type : {Type::kCluster, Type::kEndpoint, Type::kListener, Type::kRoute}) {
+  for (const ResourceType type :
+       {ResourceType::kCluster, ResourceType::kEndpoint, ResourceType::kListener, ResourceType::kRoute}) {
     for (const auto& [name, held] : client.held(type))
       EXPECT_EQ(held.version, other.Version(type, name)) << name;
   }
@@ -207,7 +209,7 @@
   const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
   const auto never_read = stub->DeltaAggregatedResources(&context);
   discovery::DeltaDiscoveryRequest request;
-  request.set_type_url(std::string(xds::TypeUrl(Type::kEndpoint)));
+  request.set_type_url(std::string(xds::TypeUrl(ResourceType::kEndpoint)));
   request.add_resource_names_subscribe("one");
   never_read->Write(request);
   ASSERT_TRUE(world.Await([](const auto& figures) { return figures.streams == 2; }));
@@ -242,12 +244,12 @@
         std::make_unique<XdsClient>(world.server->port(), i % 2 == 0, "proxy-" + std::to_string(i)));
   const auto connect = [](XdsClient& proxy) {
     proxy.Connect();
-    proxy.Subscribe(Type::kEndpoint, {"one", "two"});
+    proxy.Subscribe(ResourceType::kEndpoint, {"one", "two"});
   };
   each(connect);
   for (const auto& proxy : proxies)
     ASSERT_TRUE(proxy->Await([&] { return proxy->RoutesAsHeld("one", "10.0.0.1") || proxy->ended(); }))
-        << proxy->answers(Type::kEndpoint);
+        << proxy->answers(ResourceType::kEndpoint);
   for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
   std::thread drain([&] { world.Publish(Nodes(Standing::kDraining), true); });  // in the middle of it
   each([&](XdsClient& proxy) {
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -12,11 +12,11 @@
 
 using xds::Request;
 using xds::Resource;
-using xds::Resources;
+using xds::ResourceMap;
+using xds::ResourceType;
 using xds::Response;
 using xds::Session;
 using xds::Snapshot;
-using xds::Type;
 using Form = xds::Session::Form;
 
 xds::ResourcePtr Made(const std::string& name, const std::string& version,
@@ -24,7 +24,7 @@
   return std::make_shared<Resource>(Resource{name, version, name + version, std::move(clusters)});
 }
 
-constexpr std::size_t At(Type type) { return static_cast<std::size_t>(type); }
+constexpr std::size_t At(ResourceType type) { return static_cast<std::size_t>(type); }
 
 std::string VersionOf(const xds::ResourcePtr& resource) { return resource ? resource->version : ""; }
 
@@ -33,16 +33,16 @@
 Snapshot MakeSnapshot(
     const Versions& clusters, const Versions& endpoints, const Versions& listeners = {},
     const std::map<std::string, std::pair<std::string, std::set<std::string>>>& routes = {}) {
-  std::array<Resources, xds::kTypes> all;
-  for (const auto& [name, version] : clusters) all[At(Type::kCluster)][name] = Made(name, version);
-  for (const auto& [name, version] : endpoints) all[At(Type::kEndpoint)][name] = Made(name, version);
-  for (const auto& [name, version] : listeners) all[At(Type::kListener)][name] = Made(name, version);
+  std::array<ResourceMap, xds::kResourceTypeCount> all;
+  for (const auto& [name, version] : clusters) all[At(ResourceType::kCluster)][name] = Made(name, version);
+  for (const auto& [name, version] : endpoints) all[At(ResourceType::kEndpoint)][name] = Made(name, version);
+  for (const auto& [name, version] : listeners) all[At(ResourceType::kListener)][name] = Made(name, version);
   for (const auto& [name, route] : routes)
-    all[At(Type::kRoute)][name] = Made(name, route.first, route.second);
+    all[At(ResourceType::kRoute)][name] = Made(name, route.first, route.second);
   return Snapshot(std::move(all));
 }
 
-Request Ask(Type type, std::vector<std::string> names = {}) {
+Request Ask(ResourceType type, std::vector<std::string> names = {}) {
   Request request;
   request.type = type;
   request.names = names;
@@ -77,7 +77,7 @@
     Session session(form);
     const Snapshot one = MakeSnapshot({{"a", "1"}, {"b", "1"}}, {});
     EXPECT_FALSE(session.Next(one));  // nothing was asked for
-    EXPECT_FALSE(session.Take(Ask(Type::kCluster), one));
+    EXPECT_FALSE(session.Take(Ask(ResourceType::kCluster), one));
     const auto first = session.Next(one);
     ASSERT_TRUE(first);
     EXPECT_EQ(Names(*first), (Strings{"a@1", "b@1"}));
@@ -90,8 +90,8 @@
     EXPECT_EQ(Names(*second), (Strings{"b@2", "c@1"}));
     EXPECT_EQ(second->removed, form == Form::kDelta ? Strings{"a"} : Strings{});  // else by not being listed
     session.Take(Ack(*second), two);
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "b")), "2");
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "a")), "");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "b")), "2");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "a")), "");
     EXPECT_FALSE(session.Next(two));
   }
 }
@@ -99,7 +99,7 @@
 TEST(XdsSession, AnswersAWildcardThatFindsNothing) {
   Session session(Form::kStateOfTheWorld);
   const Snapshot none = MakeSnapshot({}, {});
-  session.Take(Ask(Type::kListener), none);
+  session.Take(Ask(ResourceType::kListener), none);
   const auto answer = session.Next(none);
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->resources.empty());
@@ -108,7 +108,7 @@
 TEST(XdsSession, IgnoresAStaleNonce) {
   Session session(Form::kStateOfTheWorld);
   const Snapshot one = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
-  session.Take(Ask(Type::kEndpoint, {"a"}), one);
+  session.Take(Ask(ResourceType::kEndpoint, {"a"}), one);
   const auto first = session.Next(one);
   const Snapshot two = MakeSnapshot({}, {{"a", "2"}, {"b", "1"}});
   const auto second = session.Next(two);
@@ -116,12 +116,12 @@
   // It speaks of the first answer still: what it wants by then is not what it wants.
   session.Take(Ack(*first, {"a", "b"}), two);
   EXPECT_EQ(session.stale(), 1u);
-  EXPECT_FALSE(session.Subscribed(Type::kEndpoint, "b"));
+  EXPECT_FALSE(session.Subscribed(ResourceType::kEndpoint, "b"));
   Request unknown = Ack(*second, {"b"});
   unknown.nonce = "77";
   session.Take(unknown, two);
   EXPECT_EQ(session.stale(), 2u);
-  EXPECT_TRUE(session.Subscribed(Type::kEndpoint, "a"));
+  EXPECT_TRUE(session.Subscribed(ResourceType::kEndpoint, "a"));
   session.Take(Ack(*second, {"a", "b"}), two);
   EXPECT_EQ(Names(*session.Next(two)), Strings{"b@1"});
 }
@@ -131,17 +131,17 @@
   for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
     Session session(form);
     const Snapshot one = MakeSnapshot({}, {{"a", "1"}});
-    session.Take(Ask(Type::kEndpoint, {"a"}), one);
+    session.Take(Ask(ResourceType::kEndpoint, {"a"}), one);
     const auto first = session.Next(one);
     const Snapshot two = MakeSnapshot({}, {{"a", "drained"}});
     const auto second = session.Next(two);
     ASSERT_TRUE(second);
     EXPECT_EQ(Names(*second), Strings{"a@drained"});
     session.Take(Ack(*first, {"a"}), two);
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kEndpoint, "a")), "1");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kEndpoint, "a")), "1");
     EXPECT_FALSE(session.Next(two));
     session.Take(Ack(*second, {"a"}), two);
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kEndpoint, "a")), "drained");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kEndpoint, "a")), "drained");
   }
 }
 
@@ -150,13 +150,13 @@
   for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
     Session session(form);
     const Snapshot one = MakeSnapshot({{"bad", "1"}, {"good", "1"}}, {});
-    session.Take(Ask(Type::kCluster), one);
+    session.Take(Ask(ResourceType::kCluster), one);
     const auto first = session.Next(one);
     session.Take(Ack(*first), one);
     const Snapshot two = MakeSnapshot({{"bad", "2"}, {"good", "2"}}, {});
     const auto both = session.Next(two);
     session.Take(Nack(*both), two);
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "good")), "1");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "good")), "1");
     ASSERT_TRUE(session.last_rejection());
     EXPECT_EQ(session.last_rejection()->names, (Strings{"bad", "good"}));
     EXPECT_EQ(session.last_rejection()->reason, "bad resource");
@@ -167,15 +167,15 @@
       const bool bad = std::find(names.begin(), names.end(), "bad@2") != names.end();
       session.Take(bad ? Nack(*next) : Ack(*next), two);
     }
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "good")), "2");
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "bad")), "1");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "good")), "2");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "bad")), "1");
     EXPECT_EQ(session.nacks(), 2u);
     // A mended version is tried.
     const Snapshot three = MakeSnapshot({{"bad", "3"}, {"good", "2"}}, {});
     const auto mended = session.Next(three);
     ASSERT_TRUE(mended);
     session.Take(Ack(*mended), three);
-    EXPECT_EQ(VersionOf(session.Accepted(Type::kCluster, "bad")), "3");
+    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "bad")), "3");
   }
 }
 
@@ -186,14 +186,16 @@
       return std::map<std::string, std::pair<std::string, std::set<std::string>>>{{"r", {version, {to}}}};
     };
     const Snapshot one = MakeSnapshot({{"old", "1"}}, {{"old", "1"}}, {{"l", "1"}}, routes("1", "old"));
-    session.Take(Ask(Type::kRoute, {"r"}), one);
-    session.Take(Ask(Type::kListener), one);
-    session.Take(Ask(Type::kEndpoint, {"old"}), one);
-    session.Take(Ask(Type::kCluster), one);
-    std::vector<Type> order;
+    session.Take(Ask(ResourceType::kRoute, {"r"}), one);
+    session.Take(Ask(ResourceType::kListener), one);
+    session.Take(Ask(ResourceType::kEndpoint, {"old"}), one);
+    session.Take(Ask(ResourceType::kCluster), one);
+    std::vector<ResourceType> order;
     Strings endpoints = {"old"};
-    const auto names_of = [&](Type type) {
-      return type == Type::kRoute ? Strings{"r"} : type == Type::kEndpoint ? endpoints : Strings{};
+    const auto names_of = [&](ResourceType type) {
+      return type == ResourceType::kRoute      ? Strings{"r"}
+             : type == ResourceType::kEndpoint ? endpoints
+                                               : Strings{};
     };
     while (auto next = session.Next(one)) {
       order.push_back(next->type);
@@ -201,30 +203,31 @@
       while (auto more = session.Next(one)) order.push_back(more->type), out.push_back(*more);
       for (const Response& response : out) session.Take(Ack(response, names_of(response.type)), one);
     }
-    EXPECT_EQ(order, (std::vector<Type>{Type::kCluster, Type::kEndpoint, Type::kListener, Type::kRoute}));
+    EXPECT_EQ(order, (std::vector<ResourceType>{ResourceType::kCluster, ResourceType::kEndpoint,
+                                                ResourceType::kListener, ResourceType::kRoute}));
     // A route moves to another cluster: the new one first, the old one gone last.
     const Snapshot two = MakeSnapshot({{"new", "1"}}, {{"new", "1"}}, {{"l", "1"}}, routes("2", "new"));
     const auto made = session.Next(two);
     ASSERT_TRUE(made);
-    EXPECT_EQ(made->type, Type::kCluster);
+    EXPECT_EQ(made->type, ResourceType::kCluster);
     EXPECT_TRUE(made->removed.empty());
     const auto names = Names(*made);
     EXPECT_NE(std::find(names.begin(), names.end(), "new@1"), names.end());
     endpoints = {"new"};
-    if (form == Form::kDelta) session.Take(Ask(Type::kEndpoint, {"new"}), two);
+    if (form == Form::kDelta) session.Take(Ask(ResourceType::kEndpoint, {"new"}), two);
     for (auto next = session.Next(two); next; next = session.Next(two)) {
-      EXPECT_NE(next->type, Type::kRoute);  // not before the cluster is taken in
+      EXPECT_NE(next->type, ResourceType::kRoute);  // not before the cluster is taken in
       session.Take(Ack(*next, names_of(next->type)), two);
     }
     session.Take(Ack(*made), two);
     const auto moved = session.Next(two);
     ASSERT_TRUE(moved);
-    EXPECT_EQ(moved->type, Type::kRoute);
+    EXPECT_EQ(moved->type, ResourceType::kRoute);
     EXPECT_FALSE(session.Next(two));
     session.Take(Ack(*moved, {"r"}), two);
     const auto broken = session.Next(two);
     ASSERT_TRUE(broken);
-    EXPECT_EQ(broken->type, Type::kCluster);
+    EXPECT_EQ(broken->type, ResourceType::kCluster);
     EXPECT_EQ(broken->removed, form == Form::kDelta ? Strings{"old"} : Strings{});
     EXPECT_EQ(Names(*broken), form == Form::kDelta ? Strings{} : Strings{"new@1"});
   }
@@ -234,17 +237,17 @@
 TEST(XdsSession, TellsNothingAgainToAProxyThatHasIt) {
   const Snapshot now = MakeSnapshot({{"a", "1"}, {"b", "2"}}, {{"a", "5"}});
   Session delta(Form::kDelta);
-  Request request = Ask(Type::kCluster);
+  Request request = Ask(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"b", "2"}};
   delta.Take(request, now);
   EXPECT_FALSE(delta.Next(now));
-  Request endpoints = Ask(Type::kEndpoint, {"a"});
+  Request endpoints = Ask(ResourceType::kEndpoint, {"a"});
   endpoints.initial_versions = {{"a", "4"}};
   delta.Take(endpoints, now);
   EXPECT_EQ(Names(*delta.Next(now)), Strings{"a@5"});
   Session world(Form::kStateOfTheWorld);
-  Request whole = Ask(Type::kCluster);
-  whole.version = now.version(Type::kCluster);
+  Request whole = Ask(ResourceType::kCluster);
+  whole.version = now.version(ResourceType::kCluster);
   whole.nonce = "of another stream";
   world.Take(whole, now);
   EXPECT_FALSE(world.Next(now));
@@ -256,7 +259,7 @@
 TEST(XdsSession, TakesAwayWhatAProxyKeptTooLong) {
   const Snapshot now = MakeSnapshot({{"a", "1"}}, {});
   Session session(Form::kDelta);
-  Request request = Ask(Type::kCluster);
+  Request request = Ask(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"gone", "1"}};
   session.Take(request, now);
   const auto answer = session.Next(now);
@@ -268,17 +271,17 @@
 TEST(XdsSession, DeltaSubscriptionsComeAndGo) {
   const Snapshot now = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
   Session session(Form::kDelta);
-  session.Take(Ask(Type::kEndpoint, {"a", "nowhere"}), now);
+  session.Take(Ask(ResourceType::kEndpoint, {"a", "nowhere"}), now);
   const auto first = session.Next(now);
   ASSERT_TRUE(first);
   EXPECT_EQ(Names(*first), Strings{"a@1"});
   EXPECT_EQ(first->removed, Strings{"nowhere"});  // said once that it is not there
   session.Take(Ack(*first), now);
   EXPECT_FALSE(session.Next(now));
-  session.Take(Ask(Type::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
+  session.Take(Ask(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
   EXPECT_EQ(Names(*session.Next(now)), (Strings{"a@1", "b@1"}));
   Request leave;
-  leave.type = Type::kEndpoint;
+  leave.type = ResourceType::kEndpoint;
   leave.unsubscribe = {"a"};
   session.Take(leave, now);
   const Snapshot later = MakeSnapshot({}, {{"a", "2"}, {"b", "2"}, {"nowhere", "1"}});
@@ -291,13 +294,13 @@
   bounds.name_bytes = 5;
   bounds.unacknowledged = 2;
   const Snapshot none = MakeSnapshot({}, {});
-  EXPECT_TRUE(Session(Form::kDelta, bounds).Take(Ask(Type::kEndpoint, {"a", "b", "c", "d"}), none));
-  EXPECT_TRUE(Session(Form::kStateOfTheWorld, bounds).Take(Ask(Type::kEndpoint, {"toolong"}), none));
+  EXPECT_TRUE(Session(Form::kDelta, bounds).Take(Ask(ResourceType::kEndpoint, {"a", "b", "c", "d"}), none));
+  EXPECT_TRUE(Session(Form::kStateOfTheWorld, bounds).Take(Ask(ResourceType::kEndpoint, {"toolong"}), none));
   Session session(Form::kDelta, bounds);
-  EXPECT_FALSE(session.Take(Ask(Type::kEndpoint, {"a", "b"}), none));
-  EXPECT_TRUE(session.Take(Ask(Type::kEndpoint, {"c", "d"}), none));
+  EXPECT_FALSE(session.Take(Ask(ResourceType::kEndpoint, {"a", "b"}), none));
+  EXPECT_TRUE(session.Take(Ask(ResourceType::kEndpoint, {"c", "d"}), none));
   Session silent(Form::kDelta, bounds);  // acknowledges nothing
-  silent.Take(Ask(Type::kEndpoint, {"a"}), none);
+  silent.Take(Ask(ResourceType::kEndpoint, {"a"}), none);
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(silent.Next(MakeSnapshot({}, {{"a", std::to_string(i)}})));
   EXPECT_FALSE(silent.Next(MakeSnapshot({}, {{"a", "9"}})));
   EXPECT_TRUE(silent.stuck());
@@ -313,7 +316,7 @@
     const auto is_bad = [&](const xds::ResourcePtr& r) {
       return r->name == "p1" && r->version.ends_with("7");
     };
-    std::map<Type, Versions> held;
+    std::map<ResourceType, Versions> held;
     std::deque<Response> inbox;
     std::set<std::string> wanted = {"p0", "p1"};
     const auto snapshot = [&] {
@@ -324,11 +327,12 @@
       return MakeSnapshot(pools, pools);
     };
     Snapshot now = snapshot();
-    session.Take(Ask(Type::kCluster), now);
-    session.Take(Ask(Type::kEndpoint, {wanted.begin(), wanted.end()}), now);
-    const auto names_of = [&](Type type) {
-      return type == Type::kEndpoint && form == Form::kStateOfTheWorld ? Strings(wanted.begin(), wanted.end())
-                                                                       : Strings{};
+    session.Take(Ask(ResourceType::kCluster), now);
+    session.Take(Ask(ResourceType::kEndpoint, {wanted.begin(), wanted.end()}), now);
+    const auto names_of = [&](ResourceType type) {
+      return type == ResourceType::kEndpoint && form == Form::kStateOfTheWorld
+                 ? Strings(wanted.begin(), wanted.end())
+                 : Strings{};
     };
     const auto take_one = [&] {
       const Response response = inbox.front();
@@ -336,7 +340,7 @@
       const bool bad = std::any_of(response.resources.begin(), response.resources.end(), is_bad);
       if (!bad) {
         auto& mine = held[response.type];
-        if (form == Form::kStateOfTheWorld && response.type == Type::kCluster) mine.clear();
+        if (form == Form::kStateOfTheWorld && response.type == ResourceType::kCluster) mine.clear();
         for (const auto& r : response.resources) mine[r->name] = r->version;
         if (form == Form::kDelta) {
           for (const std::string& name : response.removed) mine.erase(name);
@@ -352,13 +356,13 @@
       if (form == Form::kDelta && random() % 10 == 0) {
         const std::string name = "p" + std::to_string(random() % 4);
         Request change;
-        change.type = Type::kEndpoint;
+        change.type = ResourceType::kEndpoint;
         if (wanted.insert(name).second) {
           change.subscribe = {name};
         } else {
           wanted.erase(name);
           change.unsubscribe = {name};
-          held[Type::kEndpoint].erase(name);
+          held[ResourceType::kEndpoint].erase(name);
         }
         session.Take(change, now);
       }
@@ -369,20 +373,22 @@
       take_one();
     }
     EXPECT_TRUE(inbox.empty()) << seed;
-    Resources clusters;
-    now.of(Type::kCluster).ForEach([&](const std::string& name, const auto& one) { clusters[name] = one; });
+    ResourceMap clusters;
+    now.table(ResourceType::kCluster).ForEach([&](const std::string& name, const auto& one) {
+      clusters[name] = one;
+    });
     for (const auto& [name, resource] : clusters) {
       if (!is_bad(resource)) {
-        EXPECT_EQ(held[Type::kCluster][name], resource->version) << seed << name;
+        EXPECT_EQ(held[ResourceType::kCluster][name], resource->version) << seed << name;
       }
     }
-    for (const auto& [name, version] : held[Type::kCluster]) {
+    for (const auto& [name, version] : held[ResourceType::kCluster]) {
       EXPECT_TRUE(clusters.contains(name) || version.empty()) << seed << name;
     }
     for (const std::string& name : wanted) {
-      const auto found = now.of(Type::kEndpoint).Find(name);
+      const auto found = now.table(ResourceType::kEndpoint).Find(name);
       if (found && !is_bad(found)) {
-        EXPECT_EQ(held[Type::kEndpoint][name], found->version) << seed << name;
+        EXPECT_EQ(held[ResourceType::kEndpoint][name], found->version) << seed << name;
       }
     }
   }
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -39,8 +39,9 @@
     options.client_names = std::move(names);
     control.emplace(std::move(options));
     control->With([](xds::Hub& hub, Millis now) {
-      return hub.Publish("", std::make_shared<xds::Snapshot>(std::array<xds::Resources, xds::kTypes>()), true,
-                         now);
+      return hub.Publish(
+          "", std::make_shared<xds::Snapshot>(std::array<xds::ResourceMap, xds::kResourceTypeCount>()), true,
+          now);
     });
   }
   // How a proxy's stream fares that trusts `trusted`: OK if it is answered.
@@ -61,7 +62,7 @@
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     const auto stream = stub->StreamAggregatedResources(&context);
     discovery::DiscoveryRequest request;
-    request.set_type_url(std::string(xds::TypeUrl(xds::Type::kCluster)));
+    request.set_type_url(std::string(xds::TypeUrl(xds::ResourceType::kCluster)));
     stream->Write(request);
     discovery::DiscoveryResponse response;
     if (stream->Read(&response)) return grpc::StatusCode::OK;
