--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -22,9 +22,9 @@
 namespace discovery = envoy::service::discovery::v3;
 using xds::Control;
 using xds::Hub;
-using xds::Request;
 using xds::ResourceType;
 using xds::Session;
+using xds::XdsRequest;
 
 double CpuMicros() {
   timespec now;
@@ -47,8 +47,8 @@
 }
 
 struct World {
-  World(bool each, Session::Form of, int hosts, std::size_t proxies)
-      : form(of), control(hub, 1, [](const std::string&) {}) {
+  World(bool each, Session::Variant of, int hosts, std::size_t proxies)
+      : variant(of), control(hub, 1, [](const std::string&) {}) {
     Deliver(control.Configure(Services(each), now));
     gateway::HostList list;
     for (int i = 0; i < hosts; ++i) {
@@ -63,13 +63,13 @@
     Deliver(control.Told("p", list, now));
     const double before = static_cast<double>(mallinfo2().uordblks);
     for (Hub::StreamId stream = 1; stream <= proxies; ++stream) {
-      if (!hub.Open(stream, form, now)) std::abort();
-      Request request;
+      if (!hub.Open(stream, variant, now)) std::abort();
+      XdsRequest request;
       request.type = ResourceType::kEndpoint;
       request.names = request.subscribe = {"p"};
       Deliver(hub.Take(stream, Node(stream), request, now));
       if (!each) continue;
-      Request members;
+      XdsRequest members;
       members.type = ResourceType::kLbEndpoint;
       members.subscribe = {"xdstp:///envoy.config.endpoint.v3.LbEndpoint/p/zone-/*"};
       Deliver(hub.Take(stream, Node(stream), members, now));
@@ -82,17 +82,17 @@
     while (!all.empty()) {
       std::vector<Hub::Out> next;
       for (const Hub::Out& out : all) {
-        if (form == Session::Form::kDelta) {
+        if (variant == Session::Variant::kDelta) {
           Serialise<discovery::DeltaDiscoveryResponse>(out);
         } else {
           Serialise<discovery::DiscoveryResponse>(out);
         }
-        Request ack;
+        XdsRequest ack;
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
         ack.version = out.response.version;
         if (ack.type == ResourceType::kEndpoint) ack.names = {"p"};
-        if (form == Session::Form::kDelta) ack.names.clear();
+        if (variant == Session::Variant::kDelta) ack.names.clear();
         auto more = hub.Take(out.stream, Node(out.stream), ack, now);
         next.insert(next.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
       }
@@ -109,7 +109,7 @@
   }
 
   Millis now = 1e6;
-  const Session::Form form;
+  const Session::Variant variant;
   Hub hub{xds::HubOptions()};
   Control control;
   double bytes = 0, memory = 0;
@@ -130,11 +130,11 @@
   struct Kind {
     const char* name;
     bool each;
-    Session::Form form;
+    Session::Variant variant;
   };
-  const Kind kinds[] = {{"LEDS, delta", true, Session::Form::kDelta},
-                        {"lists, delta", false, Session::Form::kDelta},
-                        {"lists, SotW", false, Session::Form::kStateOfTheWorld}};
+  const Kind kinds[] = {{"LEDS, delta", true, Session::Variant::kDelta},
+                        {"lists, delta", false, Session::Variant::kDelta},
+                        {"lists, SotW", false, Session::Variant::kStateOfTheWorld}};
   std::printf(
       "one endpoint drains, %zu proxies; median of %d rounds (least to most). Once: deciding and building; "
       "then a "
@@ -142,7 +142,7 @@
       proxies, rounds);
   for (const Kind& kind : kinds) {
     for (const int hosts : {10, 1000, 10000}) {
-      World world(kind.each, kind.form, hosts, proxies);
+      World world(kind.each, kind.variant, hosts, proxies);
       std::vector<double> once, each, bytes;
       for (int i = 0; i < rounds; ++i) {
         const std::string node = "node-" + std::to_string(i);
--- a/src/xds/hub.cpp
+++ b/src/xds/hub.cpp
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-bool Hub::Open(StreamId stream, Session::Form form, Millis now) {
+bool Hub::Open(StreamId stream, Session::Variant variant, Millis now) {
   if (streams_.size() >= options_.proxies) {
     ++past_.refused;
     return false;
   }
-  streams_.try_emplace(stream, form, options_.bounds).first->second.renewed = now;
+  streams_.try_emplace(stream, variant, options_.bounds).first->second.renewed = now;
   return true;
 }
 
@@ -35,7 +35,7 @@
 void Hub::Push(StreamId id, Stream& stream, Millis now, std::vector<Out>& out) {
   const auto group = groups_.find(stream.group);
   if (!stream.known || group == groups_.end()) return;
-  while (auto response = stream.session.Next(*group->second.told)) {
+  while (auto response = stream.session.NextResponse(*group->second.told)) {
     Out item;
     item.stream = id;
     item.response = std::move(*response);
@@ -51,7 +51,7 @@
     for (const auto* const set : {&pools, &strict_}) {
       for (const std::string& pool : *set) {
         if (pools.contains(pool) != strict_.contains(pool))
-          stream.session.Again(ResourceType::kEndpoint, pool);
+          stream.session.MarkForResend(ResourceType::kEndpoint, pool);
       }
     }
   }
@@ -82,7 +82,7 @@
   return out;
 }
 
-std::vector<Hub::Out> Hub::Take(StreamId id, const ProxyNode& node, const Request& request, Millis now) {
+std::vector<Hub::Out> Hub::Take(StreamId id, const ProxyNode& node, const XdsRequest& request, Millis now) {
   std::vector<Out> out;
   const auto found = streams_.find(id);
   if (found == streams_.end()) return out;
@@ -94,14 +94,14 @@
   const auto group = groups_.find(stream.group);
   static const Snapshot kNothing{std::array<ResourceMap, kResourceTypeCount>()};
   const std::uint64_t answered = stream.session.acks() + stream.session.nacks();
-  std::optional<Request> without;
+  std::optional<XdsRequest> without;
   if (request.type == ResourceType::kEndpoint && !request.initial_versions.empty() && !strict_.empty()) {
     without = request;
     std::erase_if(without->initial_versions,
                   [&](const auto& entry) { return strict_.contains(entry.first); });
   }
-  const auto wrong = stream.session.Take(without ? *without : request,
-                                         group == groups_.end() ? kNothing : *group->second.told);
+  const auto wrong = stream.session.HandleRequest(without ? *without : request,
+                                                  group == groups_.end() ? kNothing : *group->second.told);
   if (wrong) return End(id, *wrong, now, out), out;
   if (stream.session.acks() + stream.session.nacks() != answered) {
     stream.owing_since.reset();
@@ -109,7 +109,7 @@
     for (Lost& lost : lost_) {
       if (lost.proxy != stream.node.id) continue;
       std::erase_if(lost.leases, [&](const auto& entry) {
-        return stream.session.Accepted(ResourceType::kEndpoint, entry.first) != nullptr;
+        return stream.session.AcceptedResource(ResourceType::kEndpoint, entry.first) != nullptr;
       });
     }
   }
@@ -131,15 +131,15 @@
   Stream& stream = found->second;
   past_.acks += stream.session.acks();
   past_.nacks += stream.session.nacks();
-  past_.stale += stream.session.stale();
+  past_.stale += stream.session.stale_nonces();
   Lost lost;
   lost.proxy = stream.node.id;
   lost.group = stream.group;
   for (const auto& [pool, until] : stream.leases) {
     if (until > now) lost.leases[pool] = until;
   }
-  lost.endpoints = stream.session.OldestOfAll(ResourceType::kEndpoint);
-  lost.members = stream.session.OldestOfAll(ResourceType::kLbEndpoint);
+  lost.endpoints = stream.session.AllOldestUsable(ResourceType::kEndpoint);
+  lost.members = stream.session.AllOldestUsable(ResourceType::kLbEndpoint);
   streams_.erase(found);
   std::erase_if(lost_, [&](const Lost& other) {
     return std::all_of(other.leases.begin(), other.leases.end(),
@@ -172,8 +172,8 @@
     beat.stream = id;
     beat.heartbeat = true;
     std::vector<std::string> over;
-    const bool answered = stream.session.Answered(ResourceType::kEndpoint) &&
-                          stream.session.Answered(ResourceType::kLbEndpoint);
+    const bool answered = stream.session.HasAnsweredAll(ResourceType::kEndpoint) &&
+                          stream.session.HasAnsweredAll(ResourceType::kLbEndpoint);
     for (auto& [pool, until] : stream.leases) {
       if (until == kForEver) continue;
       if (until <= now) {  // it has let go of the list: once it listens again, it is told again
@@ -181,20 +181,20 @@
         continue;
       }
       // Members of the list that are not acknowledged yet: a drain may be among them.
-      if (!stream.session.Answered(ResourceType::kLbEndpoint)) continue;
+      if (!stream.session.HasAnsweredAll(ResourceType::kLbEndpoint)) continue;
       // Only what the proxy holds for certain, and is the newest that it was told: a lease on a list from
       // before a drain must run out. A change that waits for its like (weights) was not told yet, and is no
       // reason to.
-      if (!stream.session.Settled(ResourceType::kEndpoint, pool)) continue;
+      if (!stream.session.HasAcceptedLatest(ResourceType::kEndpoint, pool)) continue;
       beat.leased.push_back(pool);
     }
     for (const std::string& pool : over) {
       stream.leases.erase(pool);
-      stream.session.Again(ResourceType::kEndpoint, pool);
+      stream.session.MarkForResend(ResourceType::kEndpoint, pool);
     }
     if (!over.empty()) Push(id, stream, now, out);
     if (beat.leased.empty()) continue;
-    auto response = stream.session.Heartbeat(ResourceType::kEndpoint);
+    auto response = stream.session.MakeHeartbeat(ResourceType::kEndpoint);
     if (!response) continue;
     for (const std::string& pool : beat.leased) stream.leases[pool] = now + options_.lease;
     beat.response = std::move(*response);
@@ -221,7 +221,7 @@
   };
   for (const auto& [id, stream] : streams_) {
     look(stream.node.id, stream.group, stream.leases,
-         [&](ResourceType type, const std::string& name) { return stream.session.Oldest(type, name); });
+         [&](ResourceType type, const std::string& name) { return stream.session.OldestUsable(type, name); });
   }
   for (const Lost& lost : lost_) {
     look(lost.proxy, lost.group, lost.leases, [&](ResourceType type, const std::string& name) {
@@ -239,7 +239,7 @@
   for (const auto& [id, stream] : streams_) {
     all.acks += stream.session.acks();
     all.nacks += stream.session.nacks();
-    all.stale += stream.session.stale();
+    all.stale += stream.session.stale_nonces();
   }
   return all;
 }
@@ -250,7 +250,7 @@
     ProxyStatus status{stream.node, stream.group, true, stream.session.last_rejection(),
                        stream.session.nacks()};
     for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
-      status.settled = status.settled && stream.session.Answered(static_cast<ResourceType>(i));
+      status.settled = status.settled && stream.session.HasAnsweredAll(static_cast<ResourceType>(i));
     }
     all.push_back(std::move(status));
   }
--- a/src/xds/hub.hpp
+++ b/src/xds/hub.hpp
@@ -34,7 +34,7 @@
   Millis lease = 400;            // of a strict pool's endpoints
   Millis heartbeat = 100;        // a lease is renewed so often
   Millis unacknowledged = 5000;  // a stream that acknowledges nothing for so long is ended
-  SessionBounds bounds;
+  SessionLimits bounds;
 };
 
 class Hub {
@@ -43,7 +43,7 @@
   // One message to one stream, or its end.
   struct Out {
     StreamId stream = 0;
-    Response response;
+    XdsResponse response;
     bool heartbeat = false;            // renews the leases of the resources named, which are not sent again
     std::vector<std::string> leased;   // resources of the response that carry the lease
     std::optional<std::string> close;  // the stream is to be ended, and why
@@ -77,10 +77,10 @@
                            Millis now);
 
   // False if there are too many streams.
-  bool Open(StreamId stream, Session::Form form, Millis now);
+  bool Open(StreamId stream, Session::Variant variant, Millis now);
   // The first request of a stream says who asks. A proxy that says it has a strict pool's list already is
   // sent it again all the same: whether its lease still runs when the answer arrives, nobody knows.
-  std::vector<Out> Take(StreamId stream, const ProxyNode& node, const Request& request, Millis now);
+  std::vector<Out> Take(StreamId stream, const ProxyNode& node, const XdsRequest& request, Millis now);
   void Closed(StreamId stream, Millis now);
 
   // What is due by now: heartbeats, and changes that have waited for their like.
@@ -110,7 +110,7 @@
     Millis since = 0;                         // the oldest of these
   };
   struct Stream {
-    explicit Stream(Session::Form form, const SessionBounds& bounds) : session(form, bounds) {}
+    explicit Stream(Session::Variant variant, const SessionLimits& limits) : session(variant, limits) {}
     Session session;
     bool known = false;
     ProxyNode node;
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -28,7 +28,7 @@
 
 class Server::Impl {
  public:
-  // One stream, whatever its form, as the deciding thread sees it.
+  // One stream, whatever its variant, as the deciding thread sees it.
   class Stream {
    public:
     virtual ~Stream() = default;
@@ -75,14 +75,14 @@
 
  private:
   // A reactor of gRPC: its calls come on gRPC's threads, those of Stream on the deciding one.
-  template <typename In, typename Reply, Session::Form form>
+  template <typename In, typename Reply, Session::Variant variant>
   class Reactor : public grpc::ServerBidiReactor<In, Reply>, public Stream {
    public:
     Reactor(Impl& owner, const grpc::CallbackServerContext& context) : owner_(owner), id_(++owner.ids_) {
       owner_.loop_.Post([this, allowed = NameAllowed(context, owner.options_.client_names)](Millis now) {
         if (!allowed)
           return End({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
-        if (!owner_.hub_.Open(id_, form, now))
+        if (!owner_.hub_.Open(id_, variant, now))
           return End({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many proxies"});
         owner_.streams_[id_] = this;
         ReadNext();
@@ -162,12 +162,12 @@
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
     StreamAggregatedResources(grpc::CallbackServerContext* context) override {
       return new Reactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse,
-                         Session::Form::kStateOfTheWorld>(owner_, *context);
+                         Session::Variant::kStateOfTheWorld>(owner_, *context);
     }
     grpc::ServerBidiReactor<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>*
     DeltaAggregatedResources(grpc::CallbackServerContext* context) override {
       return new Reactor<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse,
-                         Session::Form::kDelta>(owner_, *context);
+                         Session::Variant::kDelta>(owner_, *context);
     }
 
    private:
--- a/src/xds/wire.cpp
+++ b/src/xds/wire.cpp
@@ -48,29 +48,29 @@
   return {node.id(), node.cluster(), node.locality().zone()};
 }
 
-std::optional<Request> ToRequest(const discovery::DiscoveryRequest& from) {
+std::optional<XdsRequest> ToRequest(const discovery::DiscoveryRequest& from) {
   const auto type = TypeFromUrl(from.type_url());
   if (!type) return std::nullopt;
-  Request request;
+  XdsRequest request;
   request.type = *type;
   request.nonce = from.response_nonce();
   request.version = from.version_info();
   request.names = Texts(from.resource_names());
-  if (from.has_error_detail()) request.error = from.error_detail().message();
+  if (from.has_error_detail()) request.error_detail = from.error_detail().message();
   return request;
 }
 
-std::optional<Request> ToRequest(const discovery::DeltaDiscoveryRequest& from) {
+std::optional<XdsRequest> ToRequest(const discovery::DeltaDiscoveryRequest& from) {
   const auto type = TypeFromUrl(from.type_url());
   if (!type) return std::nullopt;
-  Request request;
+  XdsRequest request;
   request.type = *type;
   request.nonce = from.response_nonce();
   request.subscribe = Texts(from.resource_names_subscribe());
   request.unsubscribe = Texts(from.resource_names_unsubscribe());
   for (const auto& [name, version] : from.initial_resource_versions())
     request.initial_versions[name] = version;
-  if (from.has_error_detail()) request.error = from.error_detail().message();
+  if (from.has_error_detail()) request.error_detail = from.error_detail().message();
   return request;
 }
 
--- a/src/xds/wire.hpp
+++ b/src/xds/wire.hpp
@@ -22,8 +22,8 @@
 ProxyNode ToNode(const envoy::config::core::v3::Node& node);
 
 // Nothing if the type is none that this service has.
-std::optional<Request> ToRequest(const envoy::service::discovery::v3::DiscoveryRequest& from);
-std::optional<Request> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
+std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DiscoveryRequest& from);
+std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
 
 // `lease`: the time to live, in ms, of what is leased.
 void Fill(envoy::service::discovery::v3::DiscoveryResponse& to, const Hub::Out& out, Millis lease,
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -13,9 +13,9 @@
 
 using xds::Control;
 using xds::Hub;
-using xds::Request;
 using xds::ResourceType;
 using xds::Session;
+using xds::XdsRequest;
 
 std::shared_ptr<const config::Services> File(const std::string& more) {
   return Parsed(kListenerAndClasses + R"([[pool]]
@@ -46,14 +46,14 @@
     Deliver(control.Configure(File(more), now));
   }
   void Connect(Hub::StreamId stream, const xds::ProxyNode& node, bool answers = true) {
-    ASSERT_TRUE(hub.Open(stream, Session::Form::kDelta, now));
+    ASSERT_TRUE(hub.Open(stream, Session::Variant::kDelta, now));
     nodes[stream] = node;
     mute[stream] = !answers;
     for (const auto& [type, names] :
          std::map<ResourceType, std::vector<std::string>>{{ResourceType::kCluster, {}},
                                                           {ResourceType::kEndpoint, {"one", "two"}},
                                                           {ResourceType::kRoute, {"routes/in"}}}) {
-      Request request;
+      XdsRequest request;
       request.type = type;
       request.subscribe = names;
       Deliver(hub.Take(stream, node, request, now));
@@ -73,11 +73,11 @@
         }
         for (const std::string& name : out.response.removed) held.erase(name);
         if (mute[out.stream]) continue;
-        Request ack;
+        XdsRequest ack;
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
         Append(next, hub.Take(out.stream, nodes[out.stream], ack, now));
-        Request members;
+        XdsRequest members;
         members.type = ResourceType::kLbEndpoint;
         for (const std::string& name : collections) {
           if (subscribed[out.stream].insert(name).second) members.subscribe.push_back(name);
@@ -142,8 +142,8 @@
 // list.
 TEST(XdsControl, TellsNothingOfAPoolUntilItsMembershipIsKnown) {
   World world;
-  ASSERT_TRUE(world.hub.Open(1, Session::Form::kDelta, world.now));
-  Request back;
+  ASSERT_TRUE(world.hub.Open(1, Session::Variant::kDelta, world.now));
+  XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"one", "two"};
   back.initial_versions = {{"one", "of an earlier run"}};
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 using xds::Hub;
-using xds::Request;
 using xds::Resource;
 using xds::ResourceMap;
 using xds::ResourceType;
 using xds::Session;
 using xds::Snapshot;
+using xds::XdsRequest;
 
 std::shared_ptr<const Snapshot> Lists(const std::map<std::string, std::string>& versions) {
   std::array<ResourceMap, xds::kResourceTypeCount> all;
@@ -29,8 +29,8 @@
   return std::make_shared<Snapshot>(std::move(all));
 }
 
-Request Subscribe(const std::string& pool) {
-  Request request;
+XdsRequest Subscribe(const std::string& pool) {
+  XdsRequest request;
   request.type = ResourceType::kEndpoint;
   request.names = request.subscribe = {pool};
   return request;
@@ -69,12 +69,12 @@
   void Connect(std::size_t i) {
     Proxy& proxy = proxies[i];
     proxy.stream = ++streams;
-    proxy.connected = hub.Open(proxy.stream, form, now);
+    proxy.connected = hub.Open(proxy.stream, variant, now);
     proxy.inbox.clear();
     by_stream[proxy.stream] = i;
     if (!proxy.connected) return;
-    Request request = Subscribe("p");
-    if (form == Session::Form::kDelta && !proxy.version.empty() && now < proxy.until) {
+    XdsRequest request = Subscribe("p");
+    if (variant == Session::Variant::kDelta && !proxy.version.empty() && now < proxy.until) {
       request.initial_versions = {{"p", proxy.version}};
     }
     Deliver(hub.Take(proxy.stream, {"proxy-" + std::to_string(i), "", ""}, request, now));
@@ -111,7 +111,7 @@
         const bool leased = std::find(out.leased.begin(), out.leased.end(), "p") != out.leased.end();
         if (leased) proxy.until = now + 400;
         if (!proxy.connected || !proxy.answers) continue;
-        Request ack = Subscribe("p");
+        XdsRequest ack = Subscribe("p");
         ack.subscribe.clear();
         ack.nonce = out.response.nonce;
         Deliver(hub.Take(proxy.stream, {}, ack, now));
@@ -121,7 +121,7 @@
 
   Hub hub;
   std::mt19937 random;
-  Session::Form form = Session::Form::kDelta;
+  Session::Variant variant = Session::Variant::kDelta;
   Millis now = 1000;
   std::vector<Proxy> proxies;
   std::map<Hub::StreamId, std::size_t> by_stream;
@@ -143,7 +143,7 @@
   double worst = 0;
   for (unsigned seed = 0; seed < 400; ++seed) {
     World world(seed, 8);
-    world.form = seed % 2 == 0 ? Session::Form::kDelta : Session::Form::kStateOfTheWorld;
+    world.variant = seed % 2 == 0 ? Session::Variant::kDelta : Session::Variant::kStateOfTheWorld;
     for (std::size_t i = 0; i < 8; ++i) world.Drop(i, 0), world.Connect(i);
     const int lead = 300 + static_cast<int>(world.random() % 500);
     for (int i = 0; i < lead; ++i) world.Step();
@@ -198,7 +198,7 @@
 TEST(XdsHub, AStaticPoolHasNoLeaseAndItsDrainWaitsForTheProxy) {
   Hub hub({});
   hub.Publish("", Lists({{"p", "1"}}), true, 0);
-  ASSERT_TRUE(hub.Open(1, Session::Form::kDelta, 0));
+  ASSERT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
   const auto first = hub.Take(1, {"a", "", ""}, Subscribe("p"), 0);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_TRUE(first[0].leased.empty());
@@ -207,11 +207,11 @@
   EXPECT_EQ(WaitingFor(hub, drained, 100000).size(), 1u);
   hub.Closed(1, 100001);  // a proxy that is lost with it may go on for ever
   EXPECT_EQ(WaitingFor(hub, drained, 1e12).size(), 1u);
-  ASSERT_TRUE(hub.Open(2, Session::Form::kDelta, 2e12));
+  ASSERT_TRUE(hub.Open(2, Session::Variant::kDelta, 2e12));
   const auto told = hub.Take(2, {"a", "", ""}, Subscribe("p"), 2e12);
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(WaitingFor(hub, drained, 2e12).size(), 1u);
-  Request ack;
+  XdsRequest ack;
   ack.type = ResourceType::kEndpoint;
   ack.nonce = told[0].response.nonce;
   hub.Take(2, {"a", "", ""}, ack, 2e12);
@@ -234,8 +234,8 @@
   Hub hub({});
   hub.SetStrict({"p"});
   hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 0);
-  ASSERT_TRUE(hub.Open(1, Session::Form::kDelta, 0));
-  Request back;
+  ASSERT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
+  XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"p", "q"};
   back.initial_versions = {{"p", "1"}, {"q", "1"}};
@@ -299,12 +299,12 @@
   hub.Publish("edge", Lists({{"p", "edge"}}), true, 0);
   hub.Publish("inner", Lists({{"p", "inner"}}), true, 0);
   for (const auto& [stream, cluster] : std::map<Hub::StreamId, std::string>{{1, "edge"}, {2, "inner"}}) {
-    ASSERT_TRUE(hub.Open(stream, Session::Form::kDelta, 0));
+    ASSERT_TRUE(hub.Open(stream, Session::Variant::kDelta, 0));
     const auto out = hub.Take(stream, {"x", cluster, ""}, Subscribe("p"), 0);
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out[0].response.resources[0]->version, cluster);
   }
-  ASSERT_TRUE(hub.Open(3, Session::Form::kDelta, 0));
+  ASSERT_TRUE(hub.Open(3, Session::Variant::kDelta, 0));
   EXPECT_TRUE(hub.Take(3, {"x", "unknown", ""}, Subscribe("p"), 0).empty());
 }
 
@@ -315,15 +315,15 @@
   options.unacknowledged = 1000;
   Hub hub(options);
   hub.Publish("", Lists({{"p", "1"}}), true, 0);
-  EXPECT_TRUE(hub.Open(1, Session::Form::kDelta, 0));
-  EXPECT_TRUE(hub.Open(2, Session::Form::kDelta, 0));
-  EXPECT_FALSE(hub.Open(3, Session::Form::kDelta, 0));
-  Request many = Subscribe("p");
+  EXPECT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
+  EXPECT_TRUE(hub.Open(2, Session::Variant::kDelta, 0));
+  EXPECT_FALSE(hub.Open(3, Session::Variant::kDelta, 0));
+  XdsRequest many = Subscribe("p");
   many.subscribe.push_back("q");
   const auto ended = hub.Take(1, {"a", "", ""}, many, 0);
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_TRUE(ended[0].close);
-  EXPECT_TRUE(hub.Open(3, Session::Form::kDelta, 0));
+  EXPECT_TRUE(hub.Open(3, Session::Variant::kDelta, 0));
   EXPECT_EQ(hub.Take(2, {"b", "", ""}, Subscribe("p"), 0).size(), 1u);  // and never acknowledged
   std::vector<Hub::Out> out;
   for (Millis now = 1; now <= 1000 && out.empty(); now += 1) {
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -10,14 +10,14 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Request;
 using xds::Resource;
 using xds::ResourceMap;
 using xds::ResourceType;
-using xds::Response;
 using xds::Session;
 using xds::Snapshot;
-using Form = xds::Session::Form;
+using xds::XdsRequest;
+using xds::XdsResponse;
+using Variant = xds::Session::Variant;
 
 xds::ResourcePtr Made(const std::string& name, const std::string& version,
                       std::set<std::string> clusters = {}) {
@@ -42,8 +42,8 @@
   return Snapshot(std::move(all));
 }
 
-Request Ask(ResourceType type, std::vector<std::string> names = {}) {
-  Request request;
+XdsRequest Ask(ResourceType type, std::vector<std::string> names = {}) {
+  XdsRequest request;
   request.type = type;
   request.names = names;
   request.subscribe = std::move(names);
@@ -51,21 +51,21 @@
 }
 
 // The proxy's ACK of an answer, with the names that it goes on wanting (state of the world).
-Request Ack(const Response& response, std::vector<std::string> names = {}) {
-  Request request;
+XdsRequest Ack(const XdsResponse& response, std::vector<std::string> names = {}) {
+  XdsRequest request;
   request.type = response.type;
   request.nonce = response.nonce;
   request.version = response.version;
   request.names = std::move(names);
   return request;
 }
-Request Nack(const Response& response, std::vector<std::string> names = {}) {
-  Request request = Ack(response, std::move(names));
-  request.error = "bad resource";
+XdsRequest Nack(const XdsResponse& response, std::vector<std::string> names = {}) {
+  XdsRequest request = Ack(response, std::move(names));
+  request.error_detail = "bad resource";
   return request;
 }
 
-std::vector<std::string> Names(const Response& response) {
+std::vector<std::string> Names(const XdsResponse& response) {
   std::vector<std::string> names;
   for (const auto& resource : response.resources) names.push_back(resource->name + "@" + resource->version);
   return names;
@@ -73,123 +73,124 @@
 using Strings = std::vector<std::string>;
 
 TEST(XdsSession, TellsTheWholeListToAWildcardAndThenOnlyWhatChanges) {
-  for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
-    Session session(form);
+  for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
+    Session session(variant);
     const Snapshot one = MakeSnapshot({{"a", "1"}, {"b", "1"}}, {});
-    EXPECT_FALSE(session.Next(one));  // nothing was asked for
-    EXPECT_FALSE(session.Take(Ask(ResourceType::kCluster), one));
-    const auto first = session.Next(one);
+    EXPECT_FALSE(session.NextResponse(one));  // nothing was asked for
+    EXPECT_FALSE(session.HandleRequest(Ask(ResourceType::kCluster), one));
+    const auto first = session.NextResponse(one);
     ASSERT_TRUE(first);
     EXPECT_EQ(Names(*first), (Strings{"a@1", "b@1"}));
-    EXPECT_FALSE(session.Next(one));
-    session.Take(Ack(*first), one);
-    EXPECT_FALSE(session.Next(one));
+    EXPECT_FALSE(session.NextResponse(one));
+    session.HandleRequest(Ack(*first), one);
+    EXPECT_FALSE(session.NextResponse(one));
     const Snapshot two = MakeSnapshot({{"b", "2"}, {"c", "1"}}, {});
-    const auto second = session.Next(two);
+    const auto second = session.NextResponse(two);
     ASSERT_TRUE(second);
     EXPECT_EQ(Names(*second), (Strings{"b@2", "c@1"}));
-    EXPECT_EQ(second->removed, form == Form::kDelta ? Strings{"a"} : Strings{});  // else by not being listed
-    session.Take(Ack(*second), two);
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "b")), "2");
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "a")), "");
-    EXPECT_FALSE(session.Next(two));
+    EXPECT_EQ(second->removed,
+              variant == Variant::kDelta ? Strings{"a"} : Strings{});  // else by not being listed
+    session.HandleRequest(Ack(*second), two);
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "b")), "2");
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "a")), "");
+    EXPECT_FALSE(session.NextResponse(two));
   }
 }
 
 TEST(XdsSession, AnswersAWildcardThatFindsNothing) {
-  Session session(Form::kStateOfTheWorld);
+  Session session(Variant::kStateOfTheWorld);
   const Snapshot none = MakeSnapshot({}, {});
-  session.Take(Ask(ResourceType::kListener), none);
-  const auto answer = session.Next(none);
+  session.HandleRequest(Ask(ResourceType::kListener), none);
+  const auto answer = session.NextResponse(none);
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->resources.empty());
 }
 
 TEST(XdsSession, IgnoresAStaleNonce) {
-  Session session(Form::kStateOfTheWorld);
+  Session session(Variant::kStateOfTheWorld);
   const Snapshot one = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
-  session.Take(Ask(ResourceType::kEndpoint, {"a"}), one);
-  const auto first = session.Next(one);
+  session.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), one);
+  const auto first = session.NextResponse(one);
   const Snapshot two = MakeSnapshot({}, {{"a", "2"}, {"b", "1"}});
-  const auto second = session.Next(two);
+  const auto second = session.NextResponse(two);
   ASSERT_TRUE(second);
   // It speaks of the first answer still: what it wants by then is not what it wants.
-  session.Take(Ack(*first, {"a", "b"}), two);
-  EXPECT_EQ(session.stale(), 1u);
-  EXPECT_FALSE(session.Subscribed(ResourceType::kEndpoint, "b"));
-  Request unknown = Ack(*second, {"b"});
+  session.HandleRequest(Ack(*first, {"a", "b"}), two);
+  EXPECT_EQ(session.stale_nonces(), 1u);
+  EXPECT_FALSE(session.IsSubscribed(ResourceType::kEndpoint, "b"));
+  XdsRequest unknown = Ack(*second, {"b"});
   unknown.nonce = "77";
-  session.Take(unknown, two);
-  EXPECT_EQ(session.stale(), 2u);
-  EXPECT_TRUE(session.Subscribed(ResourceType::kEndpoint, "a"));
-  session.Take(Ack(*second, {"a", "b"}), two);
-  EXPECT_EQ(Names(*session.Next(two)), Strings{"b@1"});
+  session.HandleRequest(unknown, two);
+  EXPECT_EQ(session.stale_nonces(), 2u);
+  EXPECT_TRUE(session.IsSubscribed(ResourceType::kEndpoint, "a"));
+  session.HandleRequest(Ack(*second, {"a", "b"}), two);
+  EXPECT_EQ(Names(*session.NextResponse(two)), Strings{"b@1"});
 }
 
 // An update must not wait for the acknowledgement of the one before: it may be a drain.
 TEST(XdsSession, SendsAnUpdateWhileThePreviousIsUnacknowledged) {
-  for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
-    Session session(form);
+  for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
+    Session session(variant);
     const Snapshot one = MakeSnapshot({}, {{"a", "1"}});
-    session.Take(Ask(ResourceType::kEndpoint, {"a"}), one);
-    const auto first = session.Next(one);
+    session.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), one);
+    const auto first = session.NextResponse(one);
     const Snapshot two = MakeSnapshot({}, {{"a", "drained"}});
-    const auto second = session.Next(two);
+    const auto second = session.NextResponse(two);
     ASSERT_TRUE(second);
     EXPECT_EQ(Names(*second), Strings{"a@drained"});
-    session.Take(Ack(*first, {"a"}), two);
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kEndpoint, "a")), "1");
-    EXPECT_FALSE(session.Next(two));
-    session.Take(Ack(*second, {"a"}), two);
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kEndpoint, "a")), "drained");
+    session.HandleRequest(Ack(*first, {"a"}), two);
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kEndpoint, "a")), "1");
+    EXPECT_FALSE(session.NextResponse(two));
+    session.HandleRequest(Ack(*second, {"a"}), two);
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kEndpoint, "a")), "drained");
   }
 }
 
 // One bad resource of two that changed: the good one arrives, the last accepted version of the bad one stays.
 TEST(XdsSession, ANackOfOneOfTwoChangedResourcesDoesNotHoldBackTheOther) {
-  for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
-    Session session(form);
+  for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
+    Session session(variant);
     const Snapshot one = MakeSnapshot({{"bad", "1"}, {"good", "1"}}, {});
-    session.Take(Ask(ResourceType::kCluster), one);
-    const auto first = session.Next(one);
-    session.Take(Ack(*first), one);
+    session.HandleRequest(Ask(ResourceType::kCluster), one);
+    const auto first = session.NextResponse(one);
+    session.HandleRequest(Ack(*first), one);
     const Snapshot two = MakeSnapshot({{"bad", "2"}, {"good", "2"}}, {});
-    const auto both = session.Next(two);
-    session.Take(Nack(*both), two);
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "good")), "1");
+    const auto both = session.NextResponse(two);
+    session.HandleRequest(Nack(*both), two);
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "good")), "1");
     ASSERT_TRUE(session.last_rejection());
     EXPECT_EQ(session.last_rejection()->names, (Strings{"bad", "good"}));
     EXPECT_EQ(session.last_rejection()->reason, "bad resource");
     int answers = 0;
-    while (const auto next = session.Next(two)) {
+    while (const auto next = session.NextResponse(two)) {
       ASSERT_LE(++answers, 4);
       const auto names = Names(*next);
       const bool bad = std::find(names.begin(), names.end(), "bad@2") != names.end();
-      session.Take(bad ? Nack(*next) : Ack(*next), two);
+      session.HandleRequest(bad ? Nack(*next) : Ack(*next), two);
     }
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "good")), "2");
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "bad")), "1");
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "good")), "2");
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "bad")), "1");
     EXPECT_EQ(session.nacks(), 2u);
     // A mended version is tried.
     const Snapshot three = MakeSnapshot({{"bad", "3"}, {"good", "2"}}, {});
-    const auto mended = session.Next(three);
+    const auto mended = session.NextResponse(three);
     ASSERT_TRUE(mended);
-    session.Take(Ack(*mended), three);
-    EXPECT_EQ(VersionOf(session.Accepted(ResourceType::kCluster, "bad")), "3");
+    session.HandleRequest(Ack(*mended), three);
+    EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "bad")), "3");
   }
 }
 
 TEST(XdsSession, MakesBeforeItBreaks) {
-  for (const Form form : {Form::kStateOfTheWorld, Form::kDelta}) {
-    Session session(form);
+  for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
+    Session session(variant);
     const auto routes = [](const std::string& version, const std::string& to) {
       return std::map<std::string, std::pair<std::string, std::set<std::string>>>{{"r", {version, {to}}}};
     };
     const Snapshot one = MakeSnapshot({{"old", "1"}}, {{"old", "1"}}, {{"l", "1"}}, routes("1", "old"));
-    session.Take(Ask(ResourceType::kRoute, {"r"}), one);
-    session.Take(Ask(ResourceType::kListener), one);
-    session.Take(Ask(ResourceType::kEndpoint, {"old"}), one);
-    session.Take(Ask(ResourceType::kCluster), one);
+    session.HandleRequest(Ask(ResourceType::kRoute, {"r"}), one);
+    session.HandleRequest(Ask(ResourceType::kListener), one);
+    session.HandleRequest(Ask(ResourceType::kEndpoint, {"old"}), one);
+    session.HandleRequest(Ask(ResourceType::kCluster), one);
     std::vector<ResourceType> order;
     Strings endpoints = {"old"};
     const auto names_of = [&](ResourceType type) {
@@ -197,72 +198,73 @@
              : type == ResourceType::kEndpoint ? endpoints
                                                : Strings{};
     };
-    while (auto next = session.Next(one)) {
+    while (auto next = session.NextResponse(one)) {
       order.push_back(next->type);
-      std::vector<Response> out = {*next};
-      while (auto more = session.Next(one)) order.push_back(more->type), out.push_back(*more);
-      for (const Response& response : out) session.Take(Ack(response, names_of(response.type)), one);
+      std::vector<XdsResponse> out = {*next};
+      while (auto more = session.NextResponse(one)) order.push_back(more->type), out.push_back(*more);
+      for (const XdsResponse& response : out)
+        session.HandleRequest(Ack(response, names_of(response.type)), one);
     }
     EXPECT_EQ(order, (std::vector<ResourceType>{ResourceType::kCluster, ResourceType::kEndpoint,
                                                 ResourceType::kListener, ResourceType::kRoute}));
     // A route moves to another cluster: the new one first, the old one gone last.
     const Snapshot two = MakeSnapshot({{"new", "1"}}, {{"new", "1"}}, {{"l", "1"}}, routes("2", "new"));
-    const auto made = session.Next(two);
+    const auto made = session.NextResponse(two);
     ASSERT_TRUE(made);
     EXPECT_EQ(made->type, ResourceType::kCluster);
     EXPECT_TRUE(made->removed.empty());
     const auto names = Names(*made);
     EXPECT_NE(std::find(names.begin(), names.end(), "new@1"), names.end());
     endpoints = {"new"};
-    if (form == Form::kDelta) session.Take(Ask(ResourceType::kEndpoint, {"new"}), two);
-    for (auto next = session.Next(two); next; next = session.Next(two)) {
+    if (variant == Variant::kDelta) session.HandleRequest(Ask(ResourceType::kEndpoint, {"new"}), two);
+    for (auto next = session.NextResponse(two); next; next = session.NextResponse(two)) {
       EXPECT_NE(next->type, ResourceType::kRoute);  // not before the cluster is taken in
-      session.Take(Ack(*next, names_of(next->type)), two);
+      session.HandleRequest(Ack(*next, names_of(next->type)), two);
     }
-    session.Take(Ack(*made), two);
-    const auto moved = session.Next(two);
+    session.HandleRequest(Ack(*made), two);
+    const auto moved = session.NextResponse(two);
     ASSERT_TRUE(moved);
     EXPECT_EQ(moved->type, ResourceType::kRoute);
-    EXPECT_FALSE(session.Next(two));
-    session.Take(Ack(*moved, {"r"}), two);
-    const auto broken = session.Next(two);
+    EXPECT_FALSE(session.NextResponse(two));
+    session.HandleRequest(Ack(*moved, {"r"}), two);
+    const auto broken = session.NextResponse(two);
     ASSERT_TRUE(broken);
     EXPECT_EQ(broken->type, ResourceType::kCluster);
-    EXPECT_EQ(broken->removed, form == Form::kDelta ? Strings{"old"} : Strings{});
-    EXPECT_EQ(Names(*broken), form == Form::kDelta ? Strings{} : Strings{"new@1"});
+    EXPECT_EQ(broken->removed, variant == Variant::kDelta ? Strings{"old"} : Strings{});
+    EXPECT_EQ(Names(*broken), variant == Variant::kDelta ? Strings{} : Strings{"new@1"});
   }
 }
 
 // A restart of the control service, or a proxy that comes over from another instance: nothing is told again.
 TEST(XdsSession, TellsNothingAgainToAProxyThatHasIt) {
   const Snapshot now = MakeSnapshot({{"a", "1"}, {"b", "2"}}, {{"a", "5"}});
-  Session delta(Form::kDelta);
-  Request request = Ask(ResourceType::kCluster);
+  Session delta(Variant::kDelta);
+  XdsRequest request = Ask(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"b", "2"}};
-  delta.Take(request, now);
-  EXPECT_FALSE(delta.Next(now));
-  Request endpoints = Ask(ResourceType::kEndpoint, {"a"});
+  delta.HandleRequest(request, now);
+  EXPECT_FALSE(delta.NextResponse(now));
+  XdsRequest endpoints = Ask(ResourceType::kEndpoint, {"a"});
   endpoints.initial_versions = {{"a", "4"}};
-  delta.Take(endpoints, now);
-  EXPECT_EQ(Names(*delta.Next(now)), Strings{"a@5"});
-  Session world(Form::kStateOfTheWorld);
-  Request whole = Ask(ResourceType::kCluster);
+  delta.HandleRequest(endpoints, now);
+  EXPECT_EQ(Names(*delta.NextResponse(now)), Strings{"a@5"});
+  Session world(Variant::kStateOfTheWorld);
+  XdsRequest whole = Ask(ResourceType::kCluster);
   whole.version = now.version(ResourceType::kCluster);
   whole.nonce = "of another stream";
-  world.Take(whole, now);
-  EXPECT_FALSE(world.Next(now));
+  world.HandleRequest(whole, now);
+  EXPECT_FALSE(world.NextResponse(now));
   const Snapshot later = MakeSnapshot({{"a", "1"}, {"b", "3"}}, {{"a", "5"}});
-  EXPECT_EQ(Names(*world.Next(later)), (Strings{"a@1", "b@3"}));
+  EXPECT_EQ(Names(*world.NextResponse(later)), (Strings{"a@1", "b@3"}));
 }
 
 // A resource that was gone while the proxy was away is taken from it.
 TEST(XdsSession, TakesAwayWhatAProxyKeptTooLong) {
   const Snapshot now = MakeSnapshot({{"a", "1"}}, {});
-  Session session(Form::kDelta);
-  Request request = Ask(ResourceType::kCluster);
+  Session session(Variant::kDelta);
+  XdsRequest request = Ask(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"gone", "1"}};
-  session.Take(request, now);
-  const auto answer = session.Next(now);
+  session.HandleRequest(request, now);
+  const auto answer = session.NextResponse(now);
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->resources.empty());
   EXPECT_EQ(answer->removed, Strings{"gone"});
@@ -270,40 +272,42 @@
 
 TEST(XdsSession, DeltaSubscriptionsComeAndGo) {
   const Snapshot now = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
-  Session session(Form::kDelta);
-  session.Take(Ask(ResourceType::kEndpoint, {"a", "nowhere"}), now);
-  const auto first = session.Next(now);
+  Session session(Variant::kDelta);
+  session.HandleRequest(Ask(ResourceType::kEndpoint, {"a", "nowhere"}), now);
+  const auto first = session.NextResponse(now);
   ASSERT_TRUE(first);
   EXPECT_EQ(Names(*first), Strings{"a@1"});
   EXPECT_EQ(first->removed, Strings{"nowhere"});  // said once that it is not there
-  session.Take(Ack(*first), now);
-  EXPECT_FALSE(session.Next(now));
-  session.Take(Ask(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
-  EXPECT_EQ(Names(*session.Next(now)), (Strings{"a@1", "b@1"}));
-  Request leave;
+  session.HandleRequest(Ack(*first), now);
+  EXPECT_FALSE(session.NextResponse(now));
+  session.HandleRequest(Ask(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
+  EXPECT_EQ(Names(*session.NextResponse(now)), (Strings{"a@1", "b@1"}));
+  XdsRequest leave;
   leave.type = ResourceType::kEndpoint;
   leave.unsubscribe = {"a"};
-  session.Take(leave, now);
+  session.HandleRequest(leave, now);
   const Snapshot later = MakeSnapshot({}, {{"a", "2"}, {"b", "2"}, {"nowhere", "1"}});
-  EXPECT_EQ(Names(*session.Next(later)), (Strings{"b@2", "nowhere@1"}));
+  EXPECT_EQ(Names(*session.NextResponse(later)), (Strings{"b@2", "nowhere@1"}));
 }
 
 TEST(XdsSession, BoundsWhatAProxyMayMakeGrow) {
-  xds::SessionBounds bounds;
-  bounds.names = 3;
-  bounds.name_bytes = 5;
-  bounds.unacknowledged = 2;
+  xds::SessionLimits limits;
+  limits.max_subscriptions = 3;
+  limits.max_name_bytes = 5;
+  limits.max_unacknowledged_responses = 2;
   const Snapshot none = MakeSnapshot({}, {});
-  EXPECT_TRUE(Session(Form::kDelta, bounds).Take(Ask(ResourceType::kEndpoint, {"a", "b", "c", "d"}), none));
-  EXPECT_TRUE(Session(Form::kStateOfTheWorld, bounds).Take(Ask(ResourceType::kEndpoint, {"toolong"}), none));
-  Session session(Form::kDelta, bounds);
-  EXPECT_FALSE(session.Take(Ask(ResourceType::kEndpoint, {"a", "b"}), none));
-  EXPECT_TRUE(session.Take(Ask(ResourceType::kEndpoint, {"c", "d"}), none));
-  Session silent(Form::kDelta, bounds);  // acknowledges nothing
-  silent.Take(Ask(ResourceType::kEndpoint, {"a"}), none);
-  for (int i = 0; i < 2; ++i) EXPECT_TRUE(silent.Next(MakeSnapshot({}, {{"a", std::to_string(i)}})));
-  EXPECT_FALSE(silent.Next(MakeSnapshot({}, {{"a", "9"}})));
-  EXPECT_TRUE(silent.stuck());
+  EXPECT_TRUE(Session(Variant::kDelta, limits)
+                  .HandleRequest(Ask(ResourceType::kEndpoint, {"a", "b", "c", "d"}), none));
+  EXPECT_TRUE(Session(Variant::kStateOfTheWorld, limits)
+                  .HandleRequest(Ask(ResourceType::kEndpoint, {"toolong"}), none));
+  Session session(Variant::kDelta, limits);
+  EXPECT_FALSE(session.HandleRequest(Ask(ResourceType::kEndpoint, {"a", "b"}), none));
+  EXPECT_TRUE(session.HandleRequest(Ask(ResourceType::kEndpoint, {"c", "d"}), none));
+  Session silent(Variant::kDelta, limits);  // acknowledges nothing
+  silent.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), none);
+  for (int i = 0; i < 2; ++i) EXPECT_TRUE(silent.NextResponse(MakeSnapshot({}, {{"a", std::to_string(i)}})));
+  EXPECT_FALSE(silent.NextResponse(MakeSnapshot({}, {{"a", "9"}})));
+  EXPECT_TRUE(silent.is_blocked());
 }
 
 // A proxy of the test's own that takes answers late, loses patience, rejects some versions and asks for other
@@ -311,13 +315,13 @@
 TEST(XdsSession, ConvergesWithAProxyThatActsByChance) {
   for (unsigned seed = 0; seed < 300; ++seed) {
     std::mt19937 random(seed);
-    const Form form = seed % 2 == 0 ? Form::kStateOfTheWorld : Form::kDelta;
-    Session session(form);
+    const Variant variant = seed % 2 == 0 ? Variant::kStateOfTheWorld : Variant::kDelta;
+    Session session(variant);
     const auto is_bad = [&](const xds::ResourcePtr& r) {
       return r->name == "p1" && r->version.ends_with("7");
     };
     std::map<ResourceType, Versions> held;
-    std::deque<Response> inbox;
+    std::deque<XdsResponse> inbox;
     std::set<std::string> wanted = {"p0", "p1"};
     const auto snapshot = [&] {
       Versions pools;
@@ -327,35 +331,35 @@
       return MakeSnapshot(pools, pools);
     };
     Snapshot now = snapshot();
-    session.Take(Ask(ResourceType::kCluster), now);
-    session.Take(Ask(ResourceType::kEndpoint, {wanted.begin(), wanted.end()}), now);
+    session.HandleRequest(Ask(ResourceType::kCluster), now);
+    session.HandleRequest(Ask(ResourceType::kEndpoint, {wanted.begin(), wanted.end()}), now);
     const auto names_of = [&](ResourceType type) {
-      return type == ResourceType::kEndpoint && form == Form::kStateOfTheWorld
+      return type == ResourceType::kEndpoint && variant == Variant::kStateOfTheWorld
                  ? Strings(wanted.begin(), wanted.end())
                  : Strings{};
     };
     const auto take_one = [&] {
-      const Response response = inbox.front();
+      const XdsResponse response = inbox.front();
       inbox.pop_front();
       const bool bad = std::any_of(response.resources.begin(), response.resources.end(), is_bad);
       if (!bad) {
         auto& mine = held[response.type];
-        if (form == Form::kStateOfTheWorld && response.type == ResourceType::kCluster) mine.clear();
+        if (variant == Variant::kStateOfTheWorld && response.type == ResourceType::kCluster) mine.clear();
         for (const auto& r : response.resources) mine[r->name] = r->version;
-        if (form == Form::kDelta) {
+        if (variant == Variant::kDelta) {
           for (const std::string& name : response.removed) mine.erase(name);
         }
       }
-      session.Take(bad ? Nack(response, names_of(response.type)) : Ack(response, names_of(response.type)),
-                   now);
+      session.HandleRequest(
+          bad ? Nack(response, names_of(response.type)) : Ack(response, names_of(response.type)), now);
     };
     for (int step = 0; step < 120; ++step) {
       if (random() % 3 == 0) now = snapshot();
-      while (auto next = session.Next(now)) inbox.push_back(*next);
+      while (auto next = session.NextResponse(now)) inbox.push_back(*next);
       while (!inbox.empty() && random() % 2 == 0) take_one();
-      if (form == Form::kDelta && random() % 10 == 0) {
+      if (variant == Variant::kDelta && random() % 10 == 0) {
         const std::string name = "p" + std::to_string(random() % 4);
-        Request change;
+        XdsRequest change;
         change.type = ResourceType::kEndpoint;
         if (wanted.insert(name).second) {
           change.subscribe = {name};
@@ -364,11 +368,11 @@
           change.unsubscribe = {name};
           held[ResourceType::kEndpoint].erase(name);
         }
-        session.Take(change, now);
+        session.HandleRequest(change, now);
       }
     }
     for (int i = 0; i < 50; ++i) {
-      while (auto next = session.Next(now)) inbox.push_back(*next);
+      while (auto next = session.NextResponse(now)) inbox.push_back(*next);
       if (inbox.empty()) break;
       take_one();
     }
