--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -44,13 +44,13 @@
   if (!parsed.services) std::abort();
   std::unique_ptr<Control> control;
   xds::ServerOptions options;
-  options.tick = [&](xds::Hub&, Millis now) { return control ? control->Tick(now) : Control::Outs(); };
+  options.tick = [&](xds::StreamHub&, Millis now) { return control ? control->Tick(now) : Control::Outs(); };
   xds::Server server(std::move(options));
-  server.With([&](xds::Hub& hub, Millis now) {
+  server.With([&](xds::StreamHub& hub, Millis now) {
     control = std::make_unique<Control>(hub, 1, [](const std::string&) {});
     return control->Configure(parsed.services, now);
   });
-  server.With([&](xds::Hub&, Millis now) {
+  server.With([&](xds::StreamHub&, Millis now) {
     return control->Told("p", {0, true, parsed.services->pools[0].membership.hosts}, now);
   });
   std::vector<std::unique_ptr<XdsClient>> proxies;
@@ -96,7 +96,8 @@
           std::none_of(open.begin(), open.end(), [&](const Drain& d) { return d.node == node; });
       if (free) {
         const auto at = Clock::now();  // told; all that the service needs from here on counts
-        server.With([&](xds::Hub&, Millis now) { return control->Drain("n" + std::to_string(node), now); });
+        server.With(
+            [&](xds::StreamHub&, Millis now) { return control->Drain("n" + std::to_string(node), now); });
         open.push_back({node, at});
         ++done;
       }
@@ -123,8 +124,9 @@
         late += ms >= 500;
         worst = std::max(worst, ms);
       }
-      server.With(
-          [&](xds::Hub&, Millis now) { return control->Undrain("n" + std::to_string(drain->node), now); });
+      server.With([&](xds::StreamHub&, Millis now) {
+        return control->Undrain("n" + std::to_string(drain->node), now);
+      });
       drain = open.erase(drain);
     }
   }
@@ -142,7 +144,7 @@
       Ms(Clock::now() - begun) / 1000);
   std::fflush(stdout);
   for (const auto& proxy : proxies) proxy->Drop();
-  server.With([&](xds::Hub&, Millis) { return Control::Outs(); });
+  server.With([&](xds::StreamHub&, Millis) { return Control::Outs(); });
   return late == 0 ? 0 : 1;
 }
 
--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -21,9 +21,9 @@
 
 namespace discovery = envoy::service::discovery::v3;
 using xds::Control;
-using xds::Hub;
 using xds::ResourceType;
 using xds::Session;
+using xds::StreamHub;
 using xds::XdsRequest;
 
 double CpuMicros() {
@@ -62,26 +62,28 @@
     }
     Deliver(control.Told("p", list, now));
     const double before = static_cast<double>(mallinfo2().uordblks);
-    for (Hub::StreamId stream = 1; stream <= proxies; ++stream) {
-      if (!hub.Open(stream, variant, now)) std::abort();
+    for (StreamHub::StreamId stream = 1; stream <= proxies; ++stream) {
+      if (!hub.OpenStream(stream, variant, now)) std::abort();
       XdsRequest request;
       request.type = ResourceType::kEndpoint;
       request.names = request.subscribe = {"p"};
-      Deliver(hub.Take(stream, Node(stream), request, now));
+      Deliver(hub.HandleRequest(stream, Node(stream), request, now));
       if (!each) continue;
       XdsRequest members;
       members.type = ResourceType::kLbEndpoint;
       members.subscribe = {"xdstp:///envoy.config.endpoint.v3.LbEndpoint/p/zone-/*"};
-      Deliver(hub.Take(stream, Node(stream), members, now));
+      Deliver(hub.HandleRequest(stream, Node(stream), members, now));
     }
     memory = (static_cast<double>(mallinfo2().uordblks) - before) / static_cast<double>(proxies);
   }
-  static xds::ProxyNode Node(Hub::StreamId stream) { return {"proxy-" + std::to_string(stream), "", ""}; }
+  static xds::ProxyNode Node(StreamHub::StreamId stream) {
+    return {"proxy-" + std::to_string(stream), "", ""};
+  }
 
-  void Deliver(std::vector<Hub::Out> all) {
+  void Deliver(std::vector<StreamHub::OutgoingMessage> all) {
     while (!all.empty()) {
-      std::vector<Hub::Out> next;
-      for (const Hub::Out& out : all) {
+      std::vector<StreamHub::OutgoingMessage> next;
+      for (const StreamHub::OutgoingMessage& out : all) {
         if (variant == Session::Variant::kDelta) {
           Serialise<discovery::DeltaDiscoveryResponse>(out);
         } else {
@@ -93,14 +95,14 @@
         ack.version = out.response.version;
         if (ack.type == ResourceType::kEndpoint) ack.names = {"p"};
         if (variant == Session::Variant::kDelta) ack.names.clear();
-        auto more = hub.Take(out.stream, Node(out.stream), ack, now);
+        auto more = hub.HandleRequest(out.stream, Node(out.stream), ack, now);
         next.insert(next.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
       }
       all = std::move(next);
     }
   }
   template <typename Message>
-  void Serialise(const Hub::Out& out) {
+  void Serialise(const StreamHub::OutgoingMessage& out) {
     Message message;
     xds::Fill(message, out, 400, "bench");
     std::string text;
@@ -110,7 +112,7 @@
 
   Millis now = 1e6;
   const Session::Variant variant;
-  Hub hub{xds::HubOptions()};
+  StreamHub hub{xds::StreamHubOptions()};
   Control control;
   double bytes = 0, memory = 0;
 };
@@ -152,7 +154,7 @@
         const double decided = CpuMicros();
         world.Deliver(std::move(out));
         const double done = CpuMicros();
-        if (!world.control.WaitingFor(node, world.now).empty()) std::abort();
+        if (!world.control.PendingProxies(node, world.now).empty()) std::abort();
         once.push_back(decided - begun);
         each.push_back((done - decided) / static_cast<double>(proxies));
         bytes.push_back(world.bytes / static_cast<double>(proxies));
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -44,10 +44,10 @@
     options.client_names = control.tls->client_names;
   }
   options.plaintext_anywhere = control.plaintext_anywhere;
-  options.hub.proxies = control.proxies;
-  options.hub.coalesce = control.coalesce;
-  options.hub.lease = control.lease;
-  options.hub.heartbeat = control.heartbeat;
+  options.hub.max_streams = control.proxies;
+  options.hub.coalescing_delay = control.coalesce;
+  options.hub.lease_duration = control.lease;
+  options.hub.heartbeat_interval = control.heartbeat;
   options.begun = gw::Now();
   options.report_every = control.report_every;
   return options;
@@ -59,7 +59,7 @@
   Running(asio::io_context& io, std::shared_ptr<const config::Services> services)
       : io_(io), drains_(services->control.drains) {
     auto options = OptionsOf(services->control);
-    options.tick = [this](xds::Hub&, Millis now) {
+    options.tick = [this](xds::StreamHub&, Millis now) {
       return control_ ? control_->Tick(now) : xds::Control::Outs();
     };
     options.report = [this](const xds::ProxyNode& proxy, const std::vector<xds::LoadReport>& reports,
@@ -68,7 +68,7 @@
     };
     const auto drained = drains_.Read();  // before anybody is told anything
     server_ = std::make_unique<xds::Server>(std::move(options));
-    server_->With([&](xds::Hub& hub, Millis now) {
+    server_->With([&](xds::StreamHub& hub, Millis now) {
       control_ = std::make_unique<xds::Control>(hub, RandomSeed(), Say);
       control_->Restore(drained);
       return control_->Configure(services, now);
@@ -89,7 +89,7 @@
         old.proxies != now_wanted.proxies || old.drains != now_wanted.drains) {
       Say("control.address, socket, drains, proxies, lease and heartbeat count from the next start");
     }
-    server_->With([&](xds::Hub&, Millis now) { return control_->Configure(services, now); });
+    server_->With([&](xds::StreamHub&, Millis now) { return control_->Configure(services, now); });
     Follow(*services);
     services_ = std::move(services);
   }
@@ -108,7 +108,7 @@
       }
       gw::Source::Handlers handlers{
           [this, id = pool.id](const gw::HostList& list) {
-            server_->With([&](xds::Hub&, Millis now) { return control_->Told(id, list, now); });
+            server_->With([&](xds::StreamHub&, Millis now) { return control_->Told(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
       Followed& to = next[pool.id];
--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-Control::Control(Hub& hub, std::uint64_t seed, std::function<void(const std::string&)> say)
+Control::Control(StreamHub& hub, std::uint64_t seed, std::function<void(const std::string&)> say)
     : hub_(hub), seed_(seed), say_(std::move(say)) {
-  hub_.SetGrouping([this](const ProxyNode& node) { return GroupOf(node); });
+  hub_.SetGroupSelector([this](const ProxyNode& node) { return GroupOf(node); });
 }
 
 ResourceOptions Control::OptionsOf(Form form) const {
@@ -76,7 +76,7 @@
     if (!pools.contains(id)) out_since_.erase(id);
   }
   pools_ = std::move(pools);
-  hub_.SetStrict(std::move(strict));
+  hub_.SetStrictPools(std::move(strict));
   groups_.clear();
   for (const config::ControlGroup& from : services_->control.groups) {
     groups_.push_back({from.id,
@@ -108,7 +108,7 @@
   parts_ = std::move(parts);
   std::set<std::string> ids;
   for (const Group& group : groups_) ids.insert(group.id);
-  hub_.Regroup(ids);
+  hub_.ReassignGroups(ids);
   Outs out;
   for (std::size_t i = 0; i < groups_.size(); ++i) {
     Group& group = groups_[i];
@@ -378,17 +378,17 @@
 
 bool Control::Knows(const std::string& node) const { return !nodes_.PoolsOf(node).empty(); }
 
-std::vector<Hub::Waiting> Control::WaitingFor(const std::string& node, Millis now) const {
+std::vector<StreamHub::PendingProxy> Control::PendingProxies(const std::string& node, Millis now) const {
   std::map<std::string, Millis> all;
   for (const auto& [pool, nodes] : out_since_) {
     const auto needs = nodes.find(node);
     if (needs == nodes.end()) continue;
-    for (const Hub::Waiting& waiting : hub_.WaitingFor(pool, needs->second, now)) {
+    for (const StreamHub::PendingProxy& waiting : hub_.PendingProxies(pool, needs->second, now)) {
       Millis& until = all[waiting.proxy];
-      until = std::max(until, waiting.until);
+      until = std::max(until, waiting.lease_expiry);
     }
   }
-  std::vector<Hub::Waiting> list;
+  std::vector<StreamHub::PendingProxy> list;
   for (const auto& [proxy, until] : all) list.push_back({proxy, until});
   return list;
 }
--- a/src/xds/control.hpp
+++ b/src/xds/control.hpp
@@ -20,16 +20,16 @@
 #include "membership/host_list.hpp"
 #include "membership/node_registry.hpp"
 #include "xds/decider.hpp"
-#include "xds/hub.hpp"
 #include "xds/resources.hpp"
+#include "xds/stream_hub.hpp"
 
 namespace opalswitch::xds {
 
 class Control {
  public:
-  using Outs = std::vector<Hub::Out>;
+  using Outs = std::vector<StreamHub::OutgoingMessage>;
   // `hub` must outlive this. `say` takes lines for the log.
-  Control(Hub& hub, std::uint64_t seed, std::function<void(const std::string&)> say);
+  Control(StreamHub& hub, std::uint64_t seed, std::function<void(const std::string&)> say);
 
   // Another file holds from now on. Pools that it defines as before keep what they have learned.
   Outs Configure(std::shared_ptr<const config::Services> services, Millis now);
@@ -46,7 +46,7 @@
   void Restore(std::set<std::string> drained) { drained_ = std::move(drained); }
   bool Knows(const std::string& node) const;
   // Proxies that may still send to a node that drains, each once, with the longest time.
-  std::vector<Hub::Waiting> WaitingFor(const std::string& node, Millis now) const;
+  std::vector<StreamHub::PendingProxy> PendingProxies(const std::string& node, Millis now) const;
 
   struct PoolStatus {
     std::string id;
@@ -102,7 +102,7 @@
   ResourceOptions OptionsOf(Form form) const;
   const std::string& GroupOf(const ProxyNode& node) const;
 
-  Hub& hub_;
+  StreamHub& hub_;
   const std::uint64_t seed_;
   const std::function<void(const std::string&)> say_;
   std::shared_ptr<const config::Services> services_;
@@ -113,7 +113,7 @@
   std::vector<Group> groups_;  // in the file's order; the last, without a name, takes what the others don't
   std::array<std::map<std::string, EndpointParts>, kForms> parts_;  // by pool; of forms that are in use
   // Since which resource a node can't be sent to: by pool, by node, for each form's list or member.
-  std::map<std::string, std::map<std::string, std::vector<Hub::Need>>> out_since_;
+  std::map<std::string, std::map<std::string, std::vector<StreamHub::RequiredResource>>> out_since_;
 };
 
 }  // namespace opalswitch::xds
--- a/src/xds/load_service.hpp
+++ b/src/xds/load_service.hpp
@@ -10,8 +10,8 @@
 
 #include "envoy/service/load_stats/v3/lrs.grpc.pb.h"
 #include "xds/decision_loop.hpp"
-#include "xds/hub.hpp"
 #include "xds/load_report.hpp"
+#include "xds/stream_hub.hpp"
 
 namespace opalswitch::xds {
 
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -68,14 +68,14 @@
   }
 
   grpc::Status Status(grpc::ServerContext*, const api::StatusRequest*, api::StatusReply* reply) override {
-    server_.With([&](Hub& hub, Millis now) {
-      const auto figures = hub.figures();
-      reply->set_pushes(figures.pushes);
-      reply->set_acks(figures.acks);
-      reply->set_nacks(figures.nacks);
-      reply->set_stale_nonces(figures.stale);
-      reply->set_refused_streams(figures.refused);
-      for (const Hub::ProxyStatus& proxy : hub.proxies()) {
+    server_.With([&](StreamHub& hub, Millis now) {
+      const auto statistics = hub.statistics();
+      reply->set_pushes(statistics.pushes);
+      reply->set_acks(statistics.acks);
+      reply->set_nacks(statistics.nacks);
+      reply->set_stale_nonces(statistics.stale_nonces);
+      reply->set_refused_streams(statistics.refused_streams);
+      for (const StreamHub::ProxyStatus& proxy : hub.ProxyStatuses()) {
         auto* const to = reply->add_proxies();
         to->set_id(proxy.node.id);
         to->set_cluster(proxy.node.cluster);
@@ -83,7 +83,7 @@
         to->set_group(proxy.group);
         to->set_settled(proxy.settled);
         to->set_nacks(proxy.nacks);
-        if (proxy.rejection) to->set_last_rejection(TextOf(*proxy.rejection));
+        if (proxy.last_rejection) to->set_last_rejection(TextOf(*proxy.last_rejection));
       }
       if (!control_) return Control::Outs();
       reply->set_load_reports(control_->reports());
@@ -122,7 +122,7 @@
   grpc::Status Undrain(grpc::ServerContext*, const api::UndrainRequest* request,
                        api::UndrainReply*) override {
     bool known = false;
-    server_.With([&](Hub&, Millis now) {
+    server_.With([&](StreamHub&, Millis now) {
       known = control_ && control_->drained().contains(request->node());
       if (!known) return Control::Outs();
       auto out = control_->Undrain(request->node(), now);
@@ -138,7 +138,7 @@
                     grpc::ServerWriter<api::DrainReply>* writer) {
     bool known = false;
     Millis begun = 0;
-    server_.With([&](Hub&, Millis now) {
+    server_.With([&](StreamHub&, Millis now) {
       begun = now;
       known = control_ && control_->Knows(request.node());
       if (!known) return Control::Outs();
@@ -150,12 +150,12 @@
     std::set<std::string> named;
     for (bool first = true;; first = false) {
       api::DrainReply reply;
-      server_.With([&](Hub&, Millis now) {
+      server_.With([&](StreamHub&, Millis now) {
         reply.set_after_ms(now - begun);
-        for (const Hub::Waiting& waiting : control_->WaitingFor(request.node(), now)) {
+        for (const StreamHub::PendingProxy& waiting : control_->PendingProxies(request.node(), now)) {
           auto* const to = reply.add_waiting();
           to->set_proxy(waiting.proxy);
-          to->set_lease_ms(std::isfinite(waiting.until) ? waiting.until - now : -1);
+          to->set_lease_ms(std::isfinite(waiting.lease_expiry) ? waiting.lease_expiry - now : -1);
         }
         return Control::Outs();
       });
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -32,7 +32,7 @@
   class Stream {
    public:
     virtual ~Stream() = default;
-    virtual void Send(const Hub::Out& out) = 0;
+    virtual void Send(const StreamHub::OutgoingMessage& out) = 0;
     virtual void ReadNext() = 0;
     virtual void End(grpc::Status status) = 0;
   };
@@ -69,7 +69,7 @@
 
   int port() const { return port_; }
 
-  void With(const std::function<std::vector<Hub::Out>(Hub&, Millis)>& work) {
+  void With(const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
     loop_.Do([&](Millis now) { Send(work(hub_, now)); });
   }
 
@@ -82,7 +82,7 @@
       owner_.loop_.Post([this, allowed = NameAllowed(context, owner.options_.client_names)](Millis now) {
         if (!allowed)
           return End({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
-        if (!owner_.hub_.Open(id_, variant, now))
+        if (!owner_.hub_.OpenStream(id_, variant, now))
           return End({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many proxies"});
         owner_.streams_[id_] = this;
         ReadNext();
@@ -99,16 +99,16 @@
       owner_.loop_.Post([this](Millis now) {
         const auto request = ToRequest(in_);
         // Types that this service has not are asked for in vain, and hold nothing else up.
-        if (request) owner_.Send(owner_.hub_.Take(id_, ToNode(in_.node()), *request, now));
+        if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToNode(in_.node()), *request, now));
         ReadNext();
       });
     }
 
-    void Send(const Hub::Out& out) override {
+    void Send(const StreamHub::OutgoingMessage& out) override {
       auto reply = std::make_unique<Reply>();
       reply->set_type_url(std::string(TypeUrl(out.response.type)));
       reply->set_nonce(out.response.nonce);
-      Fill(*reply, out, owner_.options_.hub.lease, owner_.options_.identifier);
+      Fill(*reply, out, owner_.options_.hub.lease_duration, owner_.options_.identifier);
       const std::size_t bytes = reply->ByteSizeLong();
       std::unique_lock lock(mutex_);
       if (ended_) return;
@@ -141,14 +141,14 @@
     void OnDone() override {
       owner_.loop_.Post([this](Millis now) {
         owner_.streams_.erase(id_);
-        owner_.hub_.Closed(id_, now);
+        owner_.hub_.OnStreamClosed(id_, now);
         delete this;
       });
     }
 
    private:
     Impl& owner_;
-    const Hub::StreamId id_;
+    const StreamHub::StreamId id_;
     In in_;
     std::mutex mutex_;
     std::deque<std::unique_ptr<Reply>> replies_;  // the first is being written
@@ -174,12 +174,12 @@
     Impl& owner_;
   };
 
-  void Send(const std::vector<Hub::Out>& all) {
-    for (const Hub::Out& out : all) {
+  void Send(const std::vector<StreamHub::OutgoingMessage>& all) {
+    for (const StreamHub::OutgoingMessage& out : all) {
       const auto found = streams_.find(out.stream);
       if (found == streams_.end()) continue;
-      if (out.close) {
-        found->second->End({grpc::StatusCode::RESOURCE_EXHAUSTED, *out.close});
+      if (out.close_reason) {
+        found->second->End({grpc::StatusCode::RESOURCE_EXHAUSTED, *out.close_reason});
       } else {
         found->second->Send(out);
       }
@@ -187,9 +187,9 @@
   }
 
   const ServerOptions options_;
-  Hub hub_;  // of the loop's thread, as the streams
-  std::map<Hub::StreamId, Stream*> streams_;
-  std::atomic<Hub::StreamId> ids_{0};
+  StreamHub hub_;  // of the loop's thread, as the streams
+  std::map<StreamHub::StreamId, Stream*> streams_;
+  std::atomic<StreamHub::StreamId> ids_{0};
   int port_ = 0;
   Service service_;
   LoadService loads_;
@@ -200,6 +200,8 @@
 Server::Server(ServerOptions options) : impl_(std::make_unique<Impl>(std::move(options))) {}
 Server::~Server() = default;
 int Server::port() const { return impl_->port(); }
-void Server::With(const std::function<std::vector<Hub::Out>(Hub&, Millis)>& work) { impl_->With(work); }
+void Server::With(const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
+  impl_->With(work);
+}
 
 }  // namespace opalswitch::xds
--- a/src/xds/server.hpp
+++ b/src/xds/server.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "xds/hub.hpp"
 #include "xds/load_report.hpp"
+#include "xds/stream_hub.hpp"
 
 namespace grpc {
 class ServerCredentials;
@@ -22,15 +22,15 @@
 struct ServerOptions {
   std::string address = "127.0.0.1:0";
   std::shared_ptr<grpc::ServerCredentials> credentials;  // null: plaintext, on loopback addresses alone
-  HubOptions hub;
+  StreamHubOptions hub;
   std::string identifier = "forkwick-control";
   std::vector<std::string> client_names;  // that a proxy's certificate must hold one of; empty = any
   bool plaintext_anywhere = false;
-  Millis begun = 0;             // when the process began; see Hub
+  Millis begun = 0;             // when the process began; see StreamHub
   Millis report_every = 1000;   // proxies are asked for load reports so often
   double reports_per_s = 2000;  // over all proxies; more are dropped
   // Called on the thread that decides, every 10 ms and with each load report. May be empty.
-  std::function<std::vector<Hub::Out>(Hub&, Millis now)> tick;
+  std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis now)> tick;
   std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)> report;
   std::size_t queued_messages = 64;     // to one stream; a proxy that reads nothing is dropped beyond them
   std::size_t queued_bytes = 64 << 20;  // the same
@@ -48,7 +48,7 @@
   int port() const;
 
   // Runs `work` on the thread that decides, and waits for it. What it gives is sent.
-  void With(const std::function<std::vector<Hub::Out>(Hub&, Millis now)>& work);
+  void With(const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis now)>& work);
 
  private:
   class Impl;
--- a/src/xds/wire.cpp
+++ b/src/xds/wire.cpp
@@ -25,13 +25,13 @@
   any->set_value(resource.bytes);
 }
 
-bool IsLeased(const Hub::Out& out, const std::string& name) {
-  return std::find(out.leased.begin(), out.leased.end(), name) != out.leased.end();
+bool IsLeased(const StreamHub::OutgoingMessage& out, const std::string& name) {
+  return std::find(out.leased_names.begin(), out.leased_names.end(), name) != out.leased_names.end();
 }
 
 // A resource with its lease; one that a heartbeat renews has no content.
-discovery::Resource Wrapped(const Hub::Out& out, const std::string& name, const Resource* resource,
-                            Millis lease) {
+discovery::Resource Wrapped(const StreamHub::OutgoingMessage& out, const std::string& name,
+                            const Resource* resource, Millis lease) {
   discovery::Resource wrapped;
   wrapped.set_name(name);
   if (resource != nullptr) {
@@ -74,7 +74,7 @@
   return request;
 }
 
-void Fill(discovery::DiscoveryResponse& to, const Hub::Out& out, Millis lease,
+void Fill(discovery::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
           const std::string& identifier) {
   to.set_version_info(out.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
@@ -88,11 +88,11 @@
       SetAny(to.add_resources(), *resource, out.response.type);
     }
   }
-  if (!out.heartbeat) return;
-  for (const std::string& name : out.leased) add(name, nullptr);
+  if (!out.is_heartbeat) return;
+  for (const std::string& name : out.leased_names) add(name, nullptr);
 }
 
-void Fill(discovery::DeltaDiscoveryResponse& to, const Hub::Out& out, Millis lease,
+void Fill(discovery::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
           const std::string& identifier) {
   to.set_system_version_info(out.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
@@ -100,8 +100,8 @@
     *to.add_resources() = Wrapped(out, resource->name, resource.get(), lease);
   }
   for (const std::string& name : out.response.removed) to.add_removed_resources(name);
-  if (!out.heartbeat) return;
-  for (const std::string& name : out.leased) *to.add_resources() = Wrapped(out, name, nullptr, lease);
+  if (!out.is_heartbeat) return;
+  for (const std::string& name : out.leased_names) *to.add_resources() = Wrapped(out, name, nullptr, lease);
 }
 
 }  // namespace opalswitch::xds
--- a/src/xds/wire.hpp
+++ b/src/xds/wire.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "xds/hub.hpp"
+#include "xds/stream_hub.hpp"
 
 namespace envoy::config::core::v3 {
 class Node;
@@ -26,10 +26,10 @@
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
 
 // `lease`: the time to live, in ms, of what is leased.
-void Fill(envoy::service::discovery::v3::DiscoveryResponse& to, const Hub::Out& out, Millis lease,
-          const std::string& identifier);
-void Fill(envoy::service::discovery::v3::DeltaDiscoveryResponse& to, const Hub::Out& out, Millis lease,
-          const std::string& identifier);
+void Fill(envoy::service::discovery::v3::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
+          Millis lease, const std::string& identifier);
+void Fill(envoy::service::discovery::v3::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
+          Millis lease, const std::string& identifier);
 
 }  // namespace opalswitch::xds
 
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 using xds::Control;
-using xds::Hub;
 using xds::ResourceType;
 using xds::Session;
+using xds::StreamHub;
 using xds::XdsRequest;
 
 std::shared_ptr<const config::Services> File(const std::string& more) {
@@ -45,8 +45,8 @@
       : control(hub, 1, [this](const std::string& line) { log.push_back(line); }) {
     Deliver(control.Configure(File(more), now));
   }
-  void Connect(Hub::StreamId stream, const xds::ProxyNode& node, bool answers = true) {
-    ASSERT_TRUE(hub.Open(stream, Session::Variant::kDelta, now));
+  void Connect(StreamHub::StreamId stream, const xds::ProxyNode& node, bool answers = true) {
+    ASSERT_TRUE(hub.OpenStream(stream, Session::Variant::kDelta, now));
     nodes[stream] = node;
     mute[stream] = !answers;
     for (const auto& [type, names] :
@@ -56,14 +56,14 @@
       XdsRequest request;
       request.type = type;
       request.subscribe = names;
-      Deliver(hub.Take(stream, node, request, now));
+      Deliver(hub.HandleRequest(stream, node, request, now));
     }
   }
-  void Deliver(std::vector<Hub::Out> all) {
+  void Deliver(std::vector<StreamHub::OutgoingMessage> all) {
     while (!all.empty()) {
-      std::vector<Hub::Out> next;
-      for (const Hub::Out& out : all) {
-        if (out.close) continue;
+      std::vector<StreamHub::OutgoingMessage> next;
+      for (const StreamHub::OutgoingMessage& out : all) {
+        if (out.close_reason) continue;
         auto& held = holds[out.stream][out.response.type];
         std::vector<std::string> collections;
         for (const auto& resource : out.response.resources) {
@@ -76,18 +76,20 @@
         XdsRequest ack;
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
-        Append(next, hub.Take(out.stream, nodes[out.stream], ack, now));
+        Append(next, hub.HandleRequest(out.stream, nodes[out.stream], ack, now));
         XdsRequest members;
         members.type = ResourceType::kLbEndpoint;
         for (const std::string& name : collections) {
           if (subscribed[out.stream].insert(name).second) members.subscribe.push_back(name);
         }
-        if (!members.subscribe.empty()) Append(next, hub.Take(out.stream, nodes[out.stream], members, now));
+        if (!members.subscribe.empty())
+          Append(next, hub.HandleRequest(out.stream, nodes[out.stream], members, now));
       }
       all = std::move(next);
     }
   }
-  static void Append(std::vector<Hub::Out>& to, std::vector<Hub::Out> more) {
+  static void Append(std::vector<StreamHub::OutgoingMessage>& to,
+                     std::vector<StreamHub::OutgoingMessage> more) {
     to.insert(to.end(), more.begin(), more.end());
   }
   static void AddCollections(const xds::Resource& resource, std::vector<std::string>& names) {
@@ -105,7 +107,7 @@
     }
   }
   // Weights of the endpoints that the proxy may send to, by address.
-  std::map<std::string, std::uint32_t> Usable(Hub::StreamId stream, const std::string& pool) {
+  std::map<std::string, std::uint32_t> Usable(StreamHub::StreamId stream, const std::string& pool) {
     std::map<std::string, std::uint32_t> usable;
     const auto add = [&](const envoy::config::endpoint::v3::LbEndpoint& endpoint) {
       if (endpoint.health_status() == envoy::config::core::v3::HEALTHY)
@@ -129,25 +131,25 @@
 
   Millis now = 1e6;
   std::vector<std::string> log;
-  Hub hub{xds::HubOptions()};
+  StreamHub hub{xds::StreamHubOptions()};
   Control control;
-  std::map<Hub::StreamId, xds::ProxyNode> nodes;
-  std::map<Hub::StreamId, bool> mute;
-  std::map<Hub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> holds;
-  std::map<Hub::StreamId, std::set<std::string>> subscribed;
-  std::map<Hub::StreamId, int> told;  // resources
+  std::map<StreamHub::StreamId, xds::ProxyNode> nodes;
+  std::map<StreamHub::StreamId, bool> mute;
+  std::map<StreamHub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> holds;
+  std::map<StreamHub::StreamId, std::set<std::string>> subscribed;
+  std::map<StreamHub::StreamId, int> told;  // resources
 };
 
 // Guards proxies against a control service that has just started: a list that is not known yet is no empty
 // list.
 TEST(XdsControl, TellsNothingOfAPoolUntilItsMembershipIsKnown) {
   World world;
-  ASSERT_TRUE(world.hub.Open(1, Session::Variant::kDelta, world.now));
+  ASSERT_TRUE(world.hub.OpenStream(1, Session::Variant::kDelta, world.now));
   XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"one", "two"};
   back.initial_versions = {{"one", "of an earlier run"}};
-  for (const Hub::Out& out : world.hub.Take(1, {"p", "", ""}, back, world.now)) {
+  for (const StreamHub::OutgoingMessage& out : world.hub.HandleRequest(1, {"p", "", ""}, back, world.now)) {
     EXPECT_TRUE(out.response.resources.empty());
     EXPECT_TRUE(out.response.removed.empty());
   }
@@ -190,24 +192,24 @@
   world.Connect(1, {"good", "", ""});
   world.Connect(2, {"mute", "", ""}, false);
   world.Connect(3, {"gone", "", ""});
-  world.hub.Closed(3, world.now);
-  EXPECT_TRUE(world.control.WaitingFor("a", world.now).empty());  // it does not drain
+  world.hub.OnStreamClosed(3, world.now);
+  EXPECT_TRUE(world.control.PendingProxies("a", world.now).empty());  // it does not drain
   world.Deliver(world.control.Drain("a", world.now));
   std::map<std::string, Millis> waiting;
-  for (const auto& w : world.control.WaitingFor("a", world.now)) waiting[w.proxy] = w.until;
+  for (const auto& w : world.control.PendingProxies("a", world.now)) waiting[w.proxy] = w.lease_expiry;
   ASSERT_EQ(waiting.size(), 2u);
   // Of the strict pool a lease; of the other no end until they answer.
   EXPECT_FALSE(std::isfinite(waiting["mute"]));
   EXPECT_FALSE(std::isfinite(waiting["gone"]));
   world.Connect(4, {"gone", "", ""});  // it is back
   waiting.clear();
-  for (const auto& w : world.control.WaitingFor("a", world.now)) waiting[w.proxy] = w.until;
+  for (const auto& w : world.control.PendingProxies("a", world.now)) waiting[w.proxy] = w.lease_expiry;
   EXPECT_EQ(waiting.size(), 1u);
   // A later change does not make proxies that know of the drain seem behind.
   world.Deliver(world.control.Told("one", {0, false, {Node("c", 3)}}, world.now));
   world.mute[1] = true;
   world.Run(300);
-  for (const auto& w : world.control.WaitingFor("a", world.now)) EXPECT_EQ(w.proxy, "mute");
+  for (const auto& w : world.control.PendingProxies("a", world.now)) EXPECT_EQ(w.proxy, "mute");
 }
 
 TEST(XdsControl, ANodeThatDrainsAndComesBackAtItsAddressUnderANewIdIsUsed) {
@@ -223,7 +225,7 @@
       "one", {0, true, {Node("a2", 1, ServerState::kUp, world.now), Node("b", 2)}}, world.now));
   world.Run(300);
   EXPECT_EQ(world.Usable(1, "one").count("10.0.0.1"), 1u);
-  EXPECT_TRUE(world.control.WaitingFor("a", world.now).empty());
+  EXPECT_TRUE(world.control.PendingProxies("a", world.now).empty());
   // The same id again is the drained one still.
   world.Deliver(world.control.Told("one", {0, true, {Node("a", 4), Node("b", 2)}}, world.now));
   world.Run(300);
@@ -236,18 +238,18 @@
   for (int i = 1; i <= 20; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
   world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
   world.Connect(1, {"p", "", ""});
-  const auto before = world.hub.figures().pushes;
+  const auto before = world.hub.statistics().pushes;
   hosts[0].server.weight = 1.05;
   world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
   world.Run(1000);
-  EXPECT_EQ(world.hub.figures().pushes, before);
+  EXPECT_EQ(world.hub.statistics().pushes, before);
   for (int i = 0; i < 15; ++i) {  // within one wait of 200 ms
     hosts[static_cast<std::size_t>(i)].server.weight = 2;
     world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
     world.Run(10);
   }
   world.Run(300);
-  EXPECT_LE(world.hub.figures().pushes, before + 2);
+  EXPECT_LE(world.hub.statistics().pushes, before + 2);
   EXPECT_NEAR(world.Usable(1, "one")["10.0.0.1"], 2.0 * world.Usable(1, "one")["10.0.0.20"], 40);
 }
 
@@ -282,19 +284,19 @@
   world.Deliver(world.control.Drain("h7", world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 199u);
   EXPECT_EQ(world.told[1], told + 1);
-  EXPECT_TRUE(world.control.WaitingFor("h7", world.now).empty());
+  EXPECT_TRUE(world.control.PendingProxies("h7", world.now).empty());
   hosts.erase(hosts.begin() + 10);
   world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 198u);
   EXPECT_EQ(world.told[1], told + 1);  // a removal, no resource
   world.mute[1] = true;
   world.Deliver(world.control.Drain("h8", world.now));
-  EXPECT_EQ(world.control.WaitingFor("h8", world.now).size(), 1u);
+  EXPECT_EQ(world.control.PendingProxies("h8", world.now).size(), 1u);
   // Its lease on the list is not renewed while it has not answered.
   world.Run(390);
-  EXPECT_EQ(world.control.WaitingFor("h8", world.now).size(), 1u);
+  EXPECT_EQ(world.control.PendingProxies("h8", world.now).size(), 1u);
   world.Run(20);
-  EXPECT_TRUE(world.control.WaitingFor("h8", world.now).empty());
+  EXPECT_TRUE(world.control.PendingProxies("h8", world.now).empty());
 }
 
 TEST(XdsControl, AReloadKeepsWhatPoolsHaveLearnedAndDrainsHold) {
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -14,8 +14,8 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Hub;
 using xds::Standing;
+using xds::StreamHub;
 
 // A server that answers every call with its name.
 class Named : public grpc::CallbackGenericService {
@@ -96,7 +96,7 @@
     xds::ResourceOptions options;
     options.grpc_clients = true;
     options.load_reports = false;
-    control.With([&](Hub& hub, Millis now) {
+    control.With([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*parsed.services, nodes, options), true, now);
     });
   };
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -6,17 +6,17 @@
 #include <deque>
 #include <random>
 
-#include "xds/hub.hpp"
+#include "xds/stream_hub.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-using xds::Hub;
 using xds::Resource;
 using xds::ResourceMap;
 using xds::ResourceType;
 using xds::Session;
 using xds::Snapshot;
+using xds::StreamHub;
 using xds::XdsRequest;
 
 std::shared_ptr<const Snapshot> Lists(const std::map<std::string, std::string>& versions) {
@@ -37,21 +37,22 @@
 }
 
 // Whom a drain that is in this list waits for.
-std::vector<Hub::Waiting> WaitingFor(const Hub& hub, const std::shared_ptr<const Snapshot>& drained,
-                                     Millis now) {
+std::vector<StreamHub::PendingProxy> PendingProxies(const StreamHub& hub,
+                                                    const std::shared_ptr<const Snapshot>& drained,
+                                                    Millis now) {
   const auto list = drained->table(ResourceType::kEndpoint).Find("p");
-  return hub.WaitingFor("p", {{"", ResourceType::kEndpoint, "p", list->serial}}, now);
+  return hub.PendingProxies("p", {{"", ResourceType::kEndpoint, "p", list->serial}}, now);
 }
 
 // A proxy: it takes messages as they arrive, and goes by a list only while its lease runs.
 struct Proxy {
   std::string version;  // of the list that it goes by
   Millis until = 0;     // of its lease
-  Hub::StreamId stream = 0;
+  StreamHub::StreamId stream = 0;
   bool connected = false, reads = true, answers = true;
   struct Message {
     Millis at;
-    Hub::Out out;
+    StreamHub::OutgoingMessage out;
   };
   std::deque<Message> inbox;  // on the way, in order
 
@@ -59,9 +60,9 @@
 };
 
 struct World {
-  explicit World(unsigned seed, std::size_t count, const xds::HubOptions& options = {})
+  explicit World(unsigned seed, std::size_t count, const xds::StreamHubOptions& options = {})
       : hub(options), random(seed) {
-    hub.SetStrict({"p"});
+    hub.SetStrictPools({"p"});
     Deliver(hub.Publish("", Lists({{"p", "1"}}), true, now));
     proxies.resize(count);
     for (std::size_t i = 0; i < count; ++i) Connect(i);
@@ -69,7 +70,7 @@
   void Connect(std::size_t i) {
     Proxy& proxy = proxies[i];
     proxy.stream = ++streams;
-    proxy.connected = hub.Open(proxy.stream, variant, now);
+    proxy.connected = hub.OpenStream(proxy.stream, variant, now);
     proxy.inbox.clear();
     by_stream[proxy.stream] = i;
     if (!proxy.connected) return;
@@ -77,20 +78,20 @@
     if (variant == Session::Variant::kDelta && !proxy.version.empty() && now < proxy.until) {
       request.initial_versions = {{"p", proxy.version}};
     }
-    Deliver(hub.Take(proxy.stream, {"proxy-" + std::to_string(i), "", ""}, request, now));
+    Deliver(hub.HandleRequest(proxy.stream, {"proxy-" + std::to_string(i), "", ""}, request, now));
   }
   // Ends the stream: what is on its way arrives up to `keep` messages, the rest never.
   void Drop(std::size_t i, std::size_t keep) {
     Proxy& proxy = proxies[i];
     if (!proxy.connected) return;
     proxy.connected = false;
-    hub.Closed(proxy.stream, now);
+    hub.OnStreamClosed(proxy.stream, now);
     if (proxy.inbox.size() > keep) proxy.inbox.resize(keep);
   }
-  void Deliver(std::vector<Hub::Out> all) {
-    for (Hub::Out& out : all) {
+  void Deliver(std::vector<StreamHub::OutgoingMessage> all) {
+    for (StreamHub::OutgoingMessage& out : all) {
       Proxy& proxy = proxies[by_stream.at(out.stream)];
-      if (out.close) {
+      if (out.close_reason) {
         proxy.connected = false;
         continue;
       }
@@ -105,27 +106,28 @@
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       Proxy& proxy = proxies[i];
       while (proxy.reads && !proxy.inbox.empty() && proxy.inbox.front().at <= now) {
-        const Hub::Out out = std::move(proxy.inbox.front().out);
+        const StreamHub::OutgoingMessage out = std::move(proxy.inbox.front().out);
         proxy.inbox.pop_front();
         for (const auto& resource : out.response.resources) proxy.version = resource->version;
-        const bool leased = std::find(out.leased.begin(), out.leased.end(), "p") != out.leased.end();
+        const bool leased =
+            std::find(out.leased_names.begin(), out.leased_names.end(), "p") != out.leased_names.end();
         if (leased) proxy.until = now + 400;
         if (!proxy.connected || !proxy.answers) continue;
         XdsRequest ack = Subscribe("p");
         ack.subscribe.clear();
         ack.nonce = out.response.nonce;
-        Deliver(hub.Take(proxy.stream, {}, ack, now));
+        Deliver(hub.HandleRequest(proxy.stream, {}, ack, now));
       }
     }
   }
 
-  Hub hub;
+  StreamHub hub;
   std::mt19937 random;
   Session::Variant variant = Session::Variant::kDelta;
   Millis now = 1000;
   std::vector<Proxy> proxies;
-  std::map<Hub::StreamId, std::size_t> by_stream;
-  Hub::StreamId streams = 0;
+  std::map<StreamHub::StreamId, std::size_t> by_stream;
+  StreamHub::StreamId streams = 0;
 };
 
 TEST(XdsHub, KeepsALeaseAliveWhileAllIsWell) {
@@ -183,39 +185,39 @@
   world.proxies[1].answers = false;
   const auto drained = Lists({{"p", "2"}});
   world.Deliver(world.hub.Publish("", drained, true, world.now));
-  auto waiting = WaitingFor(world.hub, drained, world.now);
+  auto waiting = PendingProxies(world.hub, drained, world.now);
   EXPECT_EQ(waiting.size(), 3u);
   for (int i = 0; i < 100; ++i) world.Step();
-  waiting = WaitingFor(world.hub, drained, world.now);
+  waiting = PendingProxies(world.hub, drained, world.now);
   ASSERT_EQ(waiting.size(), 2u);
   std::set<std::string> names;
   for (const auto& w : waiting) names.insert(w.proxy);
   EXPECT_EQ(names, (std::set<std::string>{"proxy-0", "proxy-1"}));
   for (int i = 0; i < 400; ++i) world.Step();
-  EXPECT_TRUE(WaitingFor(world.hub, drained, world.now).empty());
+  EXPECT_TRUE(PendingProxies(world.hub, drained, world.now).empty());
 }
 
 TEST(XdsHub, AStaticPoolHasNoLeaseAndItsDrainWaitsForTheProxy) {
-  Hub hub({});
+  StreamHub hub({});
   hub.Publish("", Lists({{"p", "1"}}), true, 0);
-  ASSERT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
-  const auto first = hub.Take(1, {"a", "", ""}, Subscribe("p"), 0);
+  ASSERT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
+  const auto first = hub.HandleRequest(1, {"a", "", ""}, Subscribe("p"), 0);
   ASSERT_EQ(first.size(), 1u);
-  EXPECT_TRUE(first[0].leased.empty());
+  EXPECT_TRUE(first[0].leased_names.empty());
   const auto drained = Lists({{"p", "2"}});
   hub.Publish("", drained, true, 100);
-  EXPECT_EQ(WaitingFor(hub, drained, 100000).size(), 1u);
-  hub.Closed(1, 100001);  // a proxy that is lost with it may go on for ever
-  EXPECT_EQ(WaitingFor(hub, drained, 1e12).size(), 1u);
-  ASSERT_TRUE(hub.Open(2, Session::Variant::kDelta, 2e12));
-  const auto told = hub.Take(2, {"a", "", ""}, Subscribe("p"), 2e12);
+  EXPECT_EQ(PendingProxies(hub, drained, 100000).size(), 1u);
+  hub.OnStreamClosed(1, 100001);  // a proxy that is lost with it may go on for ever
+  EXPECT_EQ(PendingProxies(hub, drained, 1e12).size(), 1u);
+  ASSERT_TRUE(hub.OpenStream(2, Session::Variant::kDelta, 2e12));
+  const auto told = hub.HandleRequest(2, {"a", "", ""}, Subscribe("p"), 2e12);
   ASSERT_EQ(told.size(), 1u);
-  EXPECT_EQ(WaitingFor(hub, drained, 2e12).size(), 1u);
+  EXPECT_EQ(PendingProxies(hub, drained, 2e12).size(), 1u);
   XdsRequest ack;
   ack.type = ResourceType::kEndpoint;
   ack.nonce = told[0].response.nonce;
-  hub.Take(2, {"a", "", ""}, ack, 2e12);
-  EXPECT_TRUE(WaitingFor(hub, drained, 2e12).empty());  // it is back, and has taken the drain in
+  hub.HandleRequest(2, {"a", "", ""}, ack, 2e12);
+  EXPECT_TRUE(PendingProxies(hub, drained, 2e12).empty());  // it is back, and has taken the drain in
 }
 
 // Guards a strict pool's proxies against an outage that outlasts their lease: they have let go of the list.
@@ -231,34 +233,34 @@
 }
 
 TEST(XdsHub, AListThatAProxyHasAlreadyIsSentAgainOnlyWhereItIsALease) {
-  Hub hub({});
-  hub.SetStrict({"p"});
+  StreamHub hub({});
+  hub.SetStrictPools({"p"});
   hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 0);
-  ASSERT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
+  ASSERT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
   XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"p", "q"};
   back.initial_versions = {{"p", "1"}, {"q", "1"}};
-  const auto told = hub.Take(1, {"a", "", ""}, back, 0);
+  const auto told = hub.HandleRequest(1, {"a", "", ""}, back, 0);
   ASSERT_EQ(told.size(), 1u);
   ASSERT_EQ(told[0].response.resources.size(), 1u);
-  EXPECT_EQ(told[0].leased, std::vector<std::string>{"p"});
+  EXPECT_EQ(told[0].leased_names, std::vector<std::string>{"p"});
   // A pool that is no longer strict, and one that is now.
-  hub.SetStrict({"q"});
+  hub.SetStrictPools({"q"});
   const auto again = hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 1);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].response.resources.size(), 2u);
-  EXPECT_EQ(again[0].leased, std::vector<std::string>{"q"});
+  EXPECT_EQ(again[0].leased_names, std::vector<std::string>{"q"});
 }
 
 TEST(XdsHub, ADrainAfterARestartWaitsForLeasesOfTheEarlierRun) {
-  Hub hub({}, /*begun=*/1000);
-  hub.SetStrict({"p"});
+  StreamHub hub({}, /*started_at=*/1000);
+  hub.SetStrictPools({"p"});
   const auto drained = Lists({{"p", "2"}});
   hub.Publish("", drained, true, 1000);
-  ASSERT_EQ(WaitingFor(hub, drained, 1399).size(), 1u);
-  EXPECT_EQ(WaitingFor(hub, drained, 1399)[0].until, 1400);
-  EXPECT_TRUE(WaitingFor(hub, drained, 1400).empty());
+  ASSERT_EQ(PendingProxies(hub, drained, 1399).size(), 1u);
+  EXPECT_EQ(PendingProxies(hub, drained, 1399)[0].lease_expiry, 1400);
+  EXPECT_TRUE(PendingProxies(hub, drained, 1400).empty());
 }
 
 TEST(XdsHub, TwoHundredProxiesThatReconnectAtOnceDelayNoDrain) {
@@ -277,58 +279,59 @@
     }
   }
   EXPECT_LT(worst, 100);  // all were told
-  EXPECT_TRUE(WaitingFor(world.hub, list, world.now).empty());
+  EXPECT_TRUE(PendingProxies(world.hub, list, world.now).empty());
 }
 
 TEST(XdsHub, ChangesThatAreNotUrgentGoTogether) {
   World world(6, 1);
   for (int i = 0; i < 300; ++i) world.Step();
-  const auto before = world.hub.figures().pushes;
+  const auto before = world.hub.statistics().pushes;
   for (int i = 0; i < 150; ++i) {
     world.Step();
     world.Deliver(world.hub.Publish("", Lists({{"p", "w" + std::to_string(i)}}), false, world.now));
   }
   for (int i = 0; i < 250; ++i) world.Step();
-  EXPECT_EQ(world.hub.figures().pushes, before + 1);
+  EXPECT_EQ(world.hub.statistics().pushes, before + 1);
   EXPECT_EQ(world.proxies[0].version, "w149");
 }
 
 TEST(XdsHub, GroupsSeeWhatIsTheirs) {
-  Hub hub({});
-  hub.SetGrouping([](const xds::ProxyNode& node) { return node.cluster; });
+  StreamHub hub({});
+  hub.SetGroupSelector([](const xds::ProxyNode& node) { return node.cluster; });
   hub.Publish("edge", Lists({{"p", "edge"}}), true, 0);
   hub.Publish("inner", Lists({{"p", "inner"}}), true, 0);
-  for (const auto& [stream, cluster] : std::map<Hub::StreamId, std::string>{{1, "edge"}, {2, "inner"}}) {
-    ASSERT_TRUE(hub.Open(stream, Session::Variant::kDelta, 0));
-    const auto out = hub.Take(stream, {"x", cluster, ""}, Subscribe("p"), 0);
+  for (const auto& [stream, cluster] :
+       std::map<StreamHub::StreamId, std::string>{{1, "edge"}, {2, "inner"}}) {
+    ASSERT_TRUE(hub.OpenStream(stream, Session::Variant::kDelta, 0));
+    const auto out = hub.HandleRequest(stream, {"x", cluster, ""}, Subscribe("p"), 0);
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out[0].response.resources[0]->version, cluster);
   }
-  ASSERT_TRUE(hub.Open(3, Session::Variant::kDelta, 0));
-  EXPECT_TRUE(hub.Take(3, {"x", "unknown", ""}, Subscribe("p"), 0).empty());
+  ASSERT_TRUE(hub.OpenStream(3, Session::Variant::kDelta, 0));
+  EXPECT_TRUE(hub.HandleRequest(3, {"x", "unknown", ""}, Subscribe("p"), 0).empty());
 }
 
 TEST(XdsHub, EndsStreamsThatGoBeyondTheirBounds) {
-  xds::HubOptions options;
-  options.proxies = 2;
-  options.bounds.names = 1;
-  options.unacknowledged = 1000;
-  Hub hub(options);
+  xds::StreamHubOptions options;
+  options.max_streams = 2;
+  options.session_limits.max_subscriptions = 1;
+  options.ack_timeout = 1000;
+  StreamHub hub(options);
   hub.Publish("", Lists({{"p", "1"}}), true, 0);
-  EXPECT_TRUE(hub.Open(1, Session::Variant::kDelta, 0));
-  EXPECT_TRUE(hub.Open(2, Session::Variant::kDelta, 0));
-  EXPECT_FALSE(hub.Open(3, Session::Variant::kDelta, 0));
+  EXPECT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
+  EXPECT_TRUE(hub.OpenStream(2, Session::Variant::kDelta, 0));
+  EXPECT_FALSE(hub.OpenStream(3, Session::Variant::kDelta, 0));
   XdsRequest many = Subscribe("p");
   many.subscribe.push_back("q");
-  const auto ended = hub.Take(1, {"a", "", ""}, many, 0);
+  const auto ended = hub.HandleRequest(1, {"a", "", ""}, many, 0);
   ASSERT_EQ(ended.size(), 1u);
-  EXPECT_TRUE(ended[0].close);
-  EXPECT_TRUE(hub.Open(3, Session::Variant::kDelta, 0));
-  EXPECT_EQ(hub.Take(2, {"b", "", ""}, Subscribe("p"), 0).size(), 1u);  // and never acknowledged
-  std::vector<Hub::Out> out;
+  EXPECT_TRUE(ended[0].close_reason);
+  EXPECT_TRUE(hub.OpenStream(3, Session::Variant::kDelta, 0));
+  EXPECT_EQ(hub.HandleRequest(2, {"b", "", ""}, Subscribe("p"), 0).size(), 1u);  // and never acknowledged
+  std::vector<StreamHub::OutgoingMessage> out;
   for (Millis now = 1; now <= 1000 && out.empty(); now += 1) {
-    for (Hub::Out& item : hub.Tick(now)) {
-      if (item.close) out.push_back(std::move(item));
+    for (StreamHub::OutgoingMessage& item : hub.Tick(now)) {
+      if (item.close_reason) out.push_back(std::move(item));
     }
   }
   ASSERT_EQ(out.size(), 1u);
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 using Reply = XdsClient::Reply;
-using xds::Hub;
 using xds::ResourceType;
 using xds::Standing;
+using xds::StreamHub;
 
 std::shared_ptr<const config::Services> Services() {
   return Parsed(kListenerAndClasses + R"([[pool]]
@@ -35,33 +35,33 @@
 
 struct World {
   explicit World(xds::ServerOptions options = {}) {
-    options.hub.lease = 20000;  // of no matter here but where a test says so: busy machines are slow
-    options.hub.heartbeat = 50;
+    options.hub.lease_duration = 20000;  // of no matter here but where a test says so: busy machines are slow
+    options.hub.heartbeat_interval = 50;
     server.emplace(std::move(options));
-    server->With([](Hub& hub, Millis) {
-      hub.SetStrict({"one"});
-      return std::vector<Hub::Out>();
+    server->With([](StreamHub& hub, Millis) {
+      hub.SetStrictPools({"one"});
+      return std::vector<StreamHub::OutgoingMessage>();
     });
     Publish(Nodes(), true);
   }
   void Publish(const xds::Assignments& nodes, bool urgent) {
-    server->With([&](Hub& hub, Millis now) {
+    server->With([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*services, nodes, {}), urgent, now);
     });
   }
-  Hub::Figures Figures() {
-    Hub::Figures figures;
-    server->With([&](Hub& hub, Millis) {
-      figures = hub.figures();
-      return std::vector<Hub::Out>();
+  StreamHub::Statistics Statistics() {
+    StreamHub::Statistics statistics;
+    server->With([&](StreamHub& hub, Millis) {
+      statistics = hub.statistics();
+      return std::vector<StreamHub::OutgoingMessage>();
     });
-    return figures;
+    return statistics;
   }
   // Waits for what the server comes to know.
-  bool Await(const std::function<bool(const Hub::Figures&)>& holds) {
+  bool Await(const std::function<bool(const StreamHub::Statistics&)>& holds) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      if (holds(Figures())) return true;
+      if (holds(Statistics())) return true;
       std::this_thread::yield();
     }
     return false;
@@ -107,7 +107,7 @@
     ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0; })) << boundary;
     EXPECT_EQ(client.Routes("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 0; }));
+  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
 // The connection breaks inside a message, wherever: half of it is nothing, and the next stream makes up for
@@ -127,7 +127,7 @@
     ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << cut;
     EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1")) << cut;
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 0; }));
+  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
 TEST_P(XdsServer, ANackKeepsTheOthersGoingAndIsCounted) {
@@ -141,11 +141,11 @@
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
   EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.nacks >= 2; }));
+  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
   std::optional<xds::Rejection> rejection;
-  world.server->With([&](Hub& hub, Millis) {
-    rejection = hub.proxies().at(0).rejection;
-    return std::vector<Hub::Out>();
+  world.server->With([&](StreamHub& hub, Millis) {
+    rejection = hub.ProxyStatuses().at(0).last_rejection;
+    return std::vector<StreamHub::OutgoingMessage>();
   });
   ASSERT_TRUE(rejection);
   EXPECT_EQ(rejection->reason, "the stand-in does not like it");
@@ -153,7 +153,7 @@
 
 TEST_P(XdsServer, AProxyThatAcknowledgesNothingIsDropped) {
   xds::ServerOptions options;
-  options.hub.unacknowledged = 100;
+  options.hub.ack_timeout = 100;
   World world(options);
   XdsClient silent(world.server->port(), GetParam(), "silent"),
       good(world.server->port(), GetParam(), "good");
@@ -187,7 +187,7 @@
 
 TEST(XdsServerLimits, RefusesMoreProxiesThanItsBound) {
   xds::ServerOptions options;
-  options.hub.proxies = 1;
+  options.hub.max_streams = 1;
   World world(options);
   XdsClient first(world.server->port(), true), second(world.server->port(), true);
   ASSERT_TRUE(MakeWhole(first));
@@ -212,7 +212,7 @@
   request.set_type_url(std::string(xds::TypeUrl(ResourceType::kEndpoint)));
   request.add_resource_names_subscribe("one");
   never_read->Write(request);
-  ASSERT_TRUE(world.Await([](const auto& figures) { return figures.streams == 2; }));
+  ASSERT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 2; }));
   std::vector<xds::Assigned> many;
   for (int i = 0; i < 4000; ++i)
     many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, Standing::kUp});
@@ -220,7 +220,7 @@
     many[0].weight = weight;
     world.Publish({{"one", many}, {"two", {}}}, true);
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 1; }));
+  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 1; }));
   world.Publish(Nodes(Standing::kDraining), true);
   EXPECT_TRUE(good.Await(
       [&] { return !good.RoutesAsHeld("one", "10.0.0.1") && good.RoutesAsHeld("one", "10.0.0.2"); }));
@@ -259,7 +259,7 @@
   drain.join();
   for (const auto& proxy : proxies)
     EXPECT_TRUE(proxy->Await([&] { return !proxy->RoutesAsHeld("one", "10.0.0.1"); }));
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 200; }));
+  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 200; }));
 }
 
 TEST(XdsServerLimits, SpeaksPlaintextOnLoopbackAlone) {
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -38,7 +38,7 @@
     options.credentials = xds::MakeCredentials(tls);
     options.client_names = std::move(names);
     control.emplace(std::move(options));
-    control->With([](xds::Hub& hub, Millis now) {
+    control->With([](xds::StreamHub& hub, Millis now) {
       return hub.Publish(
           "", std::make_shared<xds::Snapshot>(std::array<xds::ResourceMap, xds::kResourceTypeCount>()), true,
           now);
