--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t kMostGone = 1000;  // nodes that left a pool while they drained, and are remembered
 
 // Whether what is to be told of an endpoint differs enough from what was.
-bool Differs(const Assigned& was, const Assigned& is, double threshold) {
-  if (was.standing != is.standing || was.zone != is.zone || was.address != is.address || was.port != is.port)
+bool Differs(const EndpointAssignment& was, const EndpointAssignment& is, double threshold) {
+  if (was.health != is.health || was.zone != is.zone || was.address != is.address || was.port != is.port)
     return true;
   const double before = was.weight, after = is.weight;
   return was.weight != is.weight && std::abs(after - before) >= threshold * before;
@@ -32,8 +32,8 @@
 
 ResourceOptions Control::OptionsOf(Form form) const {
   ResourceOptions options;
-  options.grpc_clients = form == kGrpc;
-  options.each_endpoint = form == kEach;
+  options.for_grpc_clients = form == kGrpc;
+  options.uses_leds = form == kEach;
   return options;
 }
 
@@ -87,22 +87,22 @@
                        nullptr});
   }
   groups_.push_back({});
-  std::array<std::map<std::string, EndpointParts>, kForms> parts;
-  std::map<std::string, std::vector<Assigned>> endpoints;
+  std::array<std::map<std::string, EndpointResources>, kForms> parts;
+  std::map<std::string, std::vector<EndpointAssignment>> endpoints;
   for (auto& [id, pool] : pools_) {
     endpoints[id] = pool->decider.Endpoints();
     pool->told.clear();
     pool->zones.clear();
-    for (const Assigned& endpoint : endpoints[id]) SetTold(*pool, endpoint.id, &endpoint);
+    for (const EndpointAssignment& endpoint : endpoints[id]) SetTold(*pool, endpoint.id, &endpoint);
     pool->published = pool->listed;
   }
   for (const Group& group : groups_) {
     auto& of_form = parts[group.form];
     if (!of_form.empty()) continue;
     for (const auto& [id, pool] : pools_) {
-      of_form[id] = pool->listed
-                        ? BuildEndpoints(id, endpoints[id], OptionsOf(group.form), parts_[group.form][id])
-                        : UnknownEndpoints(id, OptionsOf(group.form));
+      of_form[id] = pool->listed ? BuildEndpointResources(id, endpoints[id], OptionsOf(group.form),
+                                                          parts_[group.form][id])
+                                 : MakePlaceholderEndpoints(id, OptionsOf(group.form));
     }
   }
   parts_ = std::move(parts);
@@ -118,12 +118,12 @@
       const auto& listeners = services_->control.groups[i].listeners;
       options.listeners = {listeners.begin(), listeners.end()};
     }
-    auto all = BuildRouting(*services_, options);
+    auto all = BuildRoutingResources(*services_, options);
     for (const auto& [id, of_pool] : parts_[group.form]) {
       if (!group.Sees(id)) continue;
-      all[static_cast<std::size_t>(ResourceType::kEndpoint)][id] = of_pool.list;
-      all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].insert(of_pool.members.begin(),
-                                                                      of_pool.members.end());
+      all[static_cast<std::size_t>(ResourceType::kEndpoint)][id] = of_pool.load_assignment;
+      all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].insert(of_pool.lb_endpoints.begin(),
+                                                                      of_pool.lb_endpoints.end());
     }
     group.told = std::make_shared<const Snapshot>(std::move(all));
     Append(out, hub_.Publish(group.id, group.told, /*urgent=*/true, now));
@@ -210,7 +210,7 @@
   });
 }
 
-void Control::SetTold(Pool& pool, const std::string& host, const Assigned* to) {
+void Control::SetTold(Pool& pool, const std::string& host, const EndpointAssignment* to) {
   const auto found = pool.told.find(host);
   if (found != pool.told.end()) {
     const auto zone = pool.zones.find(found->second.zone);
@@ -224,17 +224,17 @@
 
 Control::Outs Control::Publish(const std::string& id, Pool& pool, Millis now) {
   if (!pool.listed) return {};  // an empty list would have proxies let go of what they have
-  std::map<std::string, Assigned> was;
+  std::map<std::string, EndpointAssignment> was;
   std::set<std::string> changed, there;
   bool urgent = !std::exchange(pool.published, true);  // proxies have waited for it
-  for (const Assigned& endpoint : pool.decider.Endpoints()) {
+  for (const EndpointAssignment& endpoint : pool.decider.Endpoints()) {
     there.insert(endpoint.id);
     const auto found = pool.told.find(endpoint.id);
     if (found != pool.told.end()) {
-      const Assigned& before = found->second;
+      const EndpointAssignment& before = found->second;
       if (!Differs(before, endpoint, services_->control.threshold)) continue;
       urgent = urgent || before.address != endpoint.address || before.port != endpoint.port ||
-               (before.standing != Standing::kDraining && endpoint.standing == Standing::kDraining);
+               (before.health != EndpointHealth::kDraining && endpoint.health == EndpointHealth::kDraining);
       was[endpoint.id] = before;
     }
     changed.insert(endpoint.id);
@@ -256,17 +256,17 @@
 
 Control::Outs Control::PublishOut(const std::string& id, Pool& pool, const std::set<std::string>& hosts,
                                   Millis now) {
-  std::map<std::string, Assigned> was;
+  std::map<std::string, EndpointAssignment> was;
   std::set<std::string> changed;
   for (const std::string& host : hosts) {
     const auto found = pool.told.find(host);
     const auto state = pool.decider.StateOf(host);
     if (found == pool.told.end() || state == ServerState::kUp) continue;
-    Assigned next = found->second;
-    if (state && next.standing == Standing::kDraining) continue;
+    EndpointAssignment next = found->second;
+    if (state && next.health == EndpointHealth::kDraining) continue;
     was[host] = found->second;
     changed.insert(host);
-    next.standing = Standing::kDraining;
+    next.health = EndpointHealth::kDraining;
     next.weight = 1;
     SetTold(pool, host, state ? &next : nullptr);
   }
@@ -275,43 +275,45 @@
   return Tell(id, pool, was, changed, /*urgent=*/true, now);
 }
 
-Control::Outs Control::Tell(const std::string& id, Pool& pool, const std::map<std::string, Assigned>& was,
+Control::Outs Control::Tell(const std::string& id, Pool& pool,
+                            const std::map<std::string, EndpointAssignment>& was,
                             const std::set<std::string>& changed, bool urgent, Millis now) {
   std::array<Snapshot::Changes, kForms> changes;
   for (std::size_t form = 0; form < kForms; ++form) {
     if (parts_[form].empty()) continue;
     const ResourceOptions options = OptionsOf(static_cast<Form>(form));
-    EndpointParts& parts = parts_[form][id];
-    const ResourcePtr list = parts.list;
+    EndpointResources& parts = parts_[form][id];
+    const ResourcePtr list = parts.load_assignment;
     auto& members = changes[form][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
     if (form == kEach) {
       if (list->is_placeholder) {  // what stood for all that was not known yet
-        for (const auto& [name, placeholder] : parts.members) members[name] = nullptr;
-        parts.members.clear();
+        for (const auto& [name, placeholder] : parts.lb_endpoints) members[name] = nullptr;
+        parts.lb_endpoints.clear();
       }
       std::set<std::string> zones;
       for (const auto& [zone, count] : pool.zones) zones.insert(zone);
-      parts.list = BuildCollections(id, zones, options, list);
+      parts.load_assignment = BuildLedsAssignment(id, zones, options, list);
       for (const std::string& host : changed) {
         const auto before = was.find(host);
         const auto after = pool.told.find(host);
-        const std::string old_name = before == was.end() ? "" : MemberName(id, before->second);
-        const std::string name = after == pool.told.end() ? "" : MemberName(id, after->second);
+        const std::string old_name = before == was.end() ? "" : LbEndpointName(id, before->second);
+        const std::string name = after == pool.told.end() ? "" : LbEndpointName(id, after->second);
         if (!old_name.empty() && old_name != name) {
           members[old_name] = nullptr;
-          parts.members.erase(old_name);
+          parts.lb_endpoints.erase(old_name);
         }
         if (name.empty()) continue;
-        ResourcePtr& member = parts.members[name];
-        const ResourcePtr made = BuildMember(id, after->second, member);
+        ResourcePtr& member = parts.lb_endpoints[name];
+        const ResourcePtr made = BuildLbEndpoint(id, after->second, member);
         if (made != member) members[name] = member = made;
       }
     } else {
-      std::vector<Assigned> endpoints;
+      std::vector<EndpointAssignment> endpoints;
       for (const auto& [host, endpoint] : pool.told) endpoints.push_back(endpoint);
-      parts = BuildEndpoints(id, endpoints, options, parts);
+      parts = BuildEndpointResources(id, endpoints, options, parts);
     }
-    if (parts.list != list) changes[form][static_cast<std::size_t>(ResourceType::kEndpoint)][id] = parts.list;
+    if (parts.load_assignment != list)
+      changes[form][static_cast<std::size_t>(ResourceType::kEndpoint)][id] = parts.load_assignment;
   }
   Outs out;
   for (Group& group : groups_) {
@@ -329,8 +331,8 @@
     const auto found = pool.told.find(host);
     if (found == pool.told.end())
       continue;  // gone: the lists without it count, those since its drain as well
-    const Assigned& endpoint = found->second;
-    if (endpoint.standing != Standing::kDraining) {
+    const EndpointAssignment& endpoint = found->second;
+    if (endpoint.health != EndpointHealth::kDraining) {
       since.erase(host);
       continue;
     }
@@ -338,15 +340,15 @@
     if (!needs.empty()) continue;  // it drains since an earlier list
     for (const Group& group : groups_) {
       if (!group.Sees(id)) continue;
-      const EndpointParts& parts = parts_[group.form].at(id);
+      const EndpointResources& parts = parts_[group.form].at(id);
       if (group.form != kEach) {
-        needs.push_back({group.id, ResourceType::kEndpoint, id, parts.list->serial});
+        needs.push_back({group.id, ResourceType::kEndpoint, id, parts.load_assignment->serial});
         continue;
       }
       // The list leads to members, and does not change with them.
-      const std::string name = MemberName(id, endpoint);
-      const auto member = parts.members.find(name);
-      if (member != parts.members.end())
+      const std::string name = LbEndpointName(id, endpoint);
+      const auto member = parts.lb_endpoints.find(name);
+      if (member != parts.lb_endpoints.end())
         needs.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
     }
   }
--- a/src/xds/control.hpp
+++ b/src/xds/control.hpp
@@ -63,11 +63,11 @@
     std::string definition;
     gateway::NodeRegistry::PoolId number = 0;
     Decider decider;
-    bool listed = false;                       // its membership has told of it
-    bool published = false;                    // and proxies were told
-    std::map<std::string, Assigned> told;      // as last published, by id
-    std::map<std::string, std::size_t> zones;  // of these, and how many each has
-    Millis look_at = 0;                        // when weights and failing hosts are next held against it
+    bool listed = false;                             // its membership has told of it
+    bool published = false;                          // and proxies were told
+    std::map<std::string, EndpointAssignment> told;  // as last published, by id
+    std::map<std::string, std::size_t> zones;        // of these, and how many each has
+    Millis look_at = 0;  // when weights and failing hosts are next held against it
   };
   // How endpoints are worded for a group. Groups with the same form share all of them.
   enum Form { kPlain, kGrpc, kEach, kForms };
@@ -93,9 +93,9 @@
   // Whether a host that proxies know is at another address now.
   static bool Moves(const Pool& pool, const gateway::HostList& list);
   // A pool's endpoint becomes another, or none.
-  static void SetTold(Pool& pool, const std::string& host, const Assigned* to);
+  static void SetTold(Pool& pool, const std::string& host, const EndpointAssignment* to);
   // Has the hub tell of what has changed in `told`, by id; `was` has what these were.
-  Outs Tell(const std::string& id, Pool& pool, const std::map<std::string, Assigned>& was,
+  Outs Tell(const std::string& id, Pool& pool, const std::map<std::string, EndpointAssignment>& was,
             const std::set<std::string>& changed, bool urgent, Millis now);
   // Notes of these hosts which can't be sent to, from which resource on.
   void NoteOut(const std::string& id, const Pool& pool, const std::set<std::string>& hosts);
@@ -111,7 +111,7 @@
   std::uint64_t made_ = 0, reports_ = 0;
   std::set<std::string> drained_;
   std::vector<Group> groups_;  // in the file's order; the last, without a name, takes what the others don't
-  std::array<std::map<std::string, EndpointParts>, kForms> parts_;  // by pool; of forms that are in use
+  std::array<std::map<std::string, EndpointResources>, kForms> parts_;  // by pool; of forms that are in use
   // Since which resource a node can't be sent to: by pool, by node, for each form's list or member.
   std::map<std::string, std::map<std::string, std::vector<StreamHub::RequiredResource>>> out_since_;
 };
--- a/src/xds/decider.cpp
+++ b/src/xds/decider.cpp
@@ -218,7 +218,7 @@
   moved_ = moved_ || owed >= 1;
 }
 
-std::vector<Assigned> Decider::Endpoints() const {
+std::vector<EndpointAssignment> Decider::Endpoints() const {
   std::map<std::string, ServerStatus> verdicts;
   double all = 0;
   std::size_t up = 0, out = 0;
@@ -233,19 +233,19 @@
   // their failures are more likely to be somebody else's.
   const bool too_many = out * kMostOut > up;
   const double trial = std::max(1.0, kTrialPart * kMean * static_cast<double>(up));
-  std::vector<Assigned> endpoints;
+  std::vector<EndpointAssignment> endpoints;
   for (const auto& [id, known] : hosts_) {
-    Assigned to;
+    EndpointAssignment to;
     to.id = id;
     to.zone = known.host.server.zone;
     to.address = known.host.address.address().to_string();
     to.port = known.host.address.port();
     const auto found = verdicts.find(id);
     if (known.host.server.state == ServerState::kDraining || found == verdicts.end()) {
-      to.standing = Standing::kDraining;
+      to.health = EndpointHealth::kDraining;
       to.weight = 1;
     } else if (found->second.ejected) {
-      to.standing = too_many || known.tried_since >= 0 ? Standing::kUp : Standing::kOut;
+      to.health = too_many || known.tried_since >= 0 ? EndpointHealth::kHealthy : EndpointHealth::kEjected;
       to.weight = static_cast<std::uint32_t>(std::lround(trial));
     } else {
       to.weight =
@@ -258,10 +258,10 @@
 
 std::vector<Decider::HostStatus> Decider::Status(Millis now) const {
   std::vector<HostStatus> all;
-  for (const Assigned& to : Endpoints()) {
+  for (const EndpointAssignment& to : Endpoints()) {
     const Known& known = hosts_.at(to.id);
     const auto word = evidence_.Of(to.id, 0, now);
-    all.push_back({to.id, gateway::ToText(known.host.address), to.standing, to.weight, known.tried_since >= 0,
+    all.push_back({to.id, gateway::ToText(known.host.address), to.health, to.weight, known.tried_since >= 0,
                    word ? word->failing : 0, word ? word->proxies : 0});
   }
   return all;
--- a/src/xds/decider.hpp
+++ b/src/xds/decider.hpp
@@ -36,14 +36,14 @@
   void Tick(Millis now);
 
   // The pool's endpoints, in the order of their ids.
-  std::vector<Assigned> Endpoints() const;
+  std::vector<EndpointAssignment> Endpoints() const;
   // What the membership says of one, at the cost of one; nothing if it is not of the pool.
   std::optional<ServerState> StateOf(const std::string& host) const;
   std::size_t size() const { return hosts_.size(); }
 
   struct HostStatus {
     std::string id, address;
-    Standing standing;
+    EndpointHealth health;
     std::uint32_t weight;
     bool trial;
     double failing;  // as the proxies say, and how many do; 0 if none does
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -25,8 +25,10 @@
 
 enum Exit { kDone = 0, kFailed = 1, kStillWaiting = 4 };
 
-const char* TextOf(Standing standing) {
-  return standing == Standing::kUp ? "up" : standing == Standing::kOut ? "out" : "draining";
+const char* TextOf(EndpointHealth health) {
+  return standing == EndpointHealth::kHealthy   ? "up"
+         : standing == EndpointHealth::kEjected ? "out"
+                                                : "draining";
 }
 
 const char* ShortName(ResourceType type) {
@@ -96,7 +98,7 @@
           auto* const one = to->add_hosts();
           one->set_id(host.id);
           one->set_address(host.address);
-          one->set_standing(TextOf(host.standing));
+          one->set_standing(TextOf(host.health));
           one->set_weight(host.weight);
           one->set_trial(host.trial);
           one->set_failing(host.failing);
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -22,7 +22,7 @@
 namespace route = envoy::config::route::v3;
 
 // The same bytes for the same message: versions are made of them.
-std::string Bytes(const google::protobuf::Message& message) {
+std::string SerializeDeterministically(const google::protobuf::Message& message) {
   std::string bytes;
   google::protobuf::io::StringOutputStream stream(&bytes);
   google::protobuf::io::CodedOutputStream coded(&stream);
@@ -43,14 +43,14 @@
   source->set_resource_api_version(core::V3);
 }
 
-void Put(ResourceMap& resources, const std::string& name, const google::protobuf::Message& message,
-         std::set<std::string> clusters = {}) {
-  resources[name] = MakeResource(name, Bytes(message), std::move(clusters));
+void AddResource(ResourceMap& resources, const std::string& name, const google::protobuf::Message& message,
+                 std::set<std::string> clusters = {}) {
+  resources[name] = MakeResource(name, SerializeDeterministically(message), std::move(clusters));
 }
 
-void Pack(google::protobuf::Any* any, const google::protobuf::Message& message) {
+void PackAny(google::protobuf::Any* any, const google::protobuf::Message& message) {
   any->set_type_url("type.googleapis.com/" + message.GetDescriptor()->full_name());
-  any->set_value(Bytes(message));
+  any->set_value(SerializeDeterministically(message));
 }
 
 envoy::config::cluster::v3::Cluster ToCluster(const config::Pool& pool, const ResourceOptions& options) {
@@ -59,19 +59,19 @@
   cluster.set_type(envoy::config::cluster::v3::Cluster::EDS);
   SetAds(cluster.mutable_eds_cluster_config()->mutable_eds_config());
   SetDuration(cluster.mutable_connect_timeout(), pool.dial_timeout);
-  cluster.set_lb_policy(options.grpc_clients ? envoy::config::cluster::v3::Cluster::ROUND_ROBIN
-                                             : envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
+  cluster.set_lb_policy(options.for_grpc_clients ? envoy::config::cluster::v3::Cluster::ROUND_ROBIN
+                                                 : envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
   if (pool.settings.max_in_flight > 0) {
     auto* const bounds = cluster.mutable_circuit_breakers()->add_thresholds();
     bounds->mutable_max_requests()->set_value(static_cast<std::uint32_t>(pool.settings.max_in_flight));
   }
-  if (options.load_reports) cluster.mutable_lrs_server()->mutable_self();
+  if (options.requests_load_reports) cluster.mutable_lrs_server()->mutable_self();
   return cluster;
 }
 
 // Whether a route can take a request whose host falls to the virtual host of `domain`: that host is the
 // domain itself, or lies under it and under no narrower one.
-bool MayTake(const routing::Route& match, const std::string& domain) {
+bool RouteAppliesToDomain(const routing::Route& match, const std::string& domain) {
   if (match.hosts.empty()) return true;
   return std::any_of(match.hosts.begin(), match.hosts.end(), [&](const std::string& pattern) {
     if (pattern == domain) return true;
@@ -99,7 +99,7 @@
 // One of the file's routes as the routes of a virtual host: an alternative each for paths, methods and
 // classes.
 void AddRoutes(route::VirtualHost* host, const config::Services& services, const config::RouteRule& rule,
-               bool told) {
+               bool is_visible) {
   const routing::Route& match = rule.match;
   struct Path {
     bool prefix;
@@ -144,7 +144,7 @@
             header->set_invert_match(condition.kind == routing::HeaderCondition::Kind::kAbsent);
           }
         }
-        if (told) {
+        if (is_visible) {
           SetAction(to, services, rule);
         } else {
           to->set_name(rule.match.id);
@@ -155,10 +155,10 @@
   }
 }
 
-std::string RoutesName(const config::Listener& listener) { return "routes/" + listener.id; }
+std::string RouteConfigurationName(const config::Listener& listener) { return "routes/" + listener.id; }
 
-void PutRoutes(ResourceMap& resources, const config::Services& services, const config::Listener& listener,
-               const ResourceOptions& options) {
+void AddRouteConfiguration(ResourceMap& resources, const config::Services& services,
+                           const config::Listener& listener, const ResourceOptions& options) {
   std::vector<std::string> domains = {"*"};
   std::vector<const config::RouteRule*> rules;
   for (const config::RouteRule& rule : services.routes) {
@@ -173,7 +173,7 @@
   }
   std::sort(domains.begin(), domains.end());
   route::RouteConfiguration routes;
-  routes.set_name(RoutesName(listener));
+  routes.set_name(RouteConfigurationName(listener));
   routes.set_ignore_port_in_host_matching(true);
   std::set<std::string> clusters;
   for (const std::string& domain : domains) {
@@ -181,38 +181,38 @@
     host.set_name(domain);
     host.add_domains(domain);
     for (const config::RouteRule* const rule : rules) {
-      if (!MayTake(rule->match, domain)) continue;
+      if (!RouteAppliesToDomain(rule->match, domain)) continue;
       const std::string& pool = services.pools[rule->pool].id;
-      const bool told = options.pools.empty() || options.pools.contains(pool);
-      AddRoutes(&host, services, *rule, told);
-      if (told) clusters.insert(pool);
+      const bool is_visible = options.pools.empty() || options.pools.contains(pool);
+      AddRoutes(&host, services, *rule, is_visible);
+      if (is_visible) clusters.insert(pool);
     }
     if (host.routes_size() > 0) *routes.add_virtual_hosts() = std::move(host);
   }
-  Put(resources, routes.name(), routes, std::move(clusters));
+  AddResource(resources, routes.name(), routes, std::move(clusters));
 }
 
-void PutListener(ResourceMap& resources, const config::Listener& from, const ResourceOptions& options) {
+void AddListener(ResourceMap& resources, const config::Listener& from, const ResourceOptions& options) {
   hcm::HttpConnectionManager manager;
   manager.set_stat_prefix(from.id);
   SetAds(manager.mutable_rds()->mutable_config_source());
-  manager.mutable_rds()->set_route_config_name(RoutesName(from));
+  manager.mutable_rds()->set_route_config_name(RouteConfigurationName(from));
   auto* const filter = manager.add_http_filters();
   filter->set_name("envoy.filters.http.router");
-  Pack(filter->mutable_typed_config(), envoy::extensions::filters::http::router::v3::Router());
+  PackAny(filter->mutable_typed_config(), envoy::extensions::filters::http::router::v3::Router());
   envoy::config::listener::v3::Listener listener;
   listener.set_name(from.id);
-  if (options.grpc_clients) {
-    Pack(listener.mutable_api_listener()->mutable_api_listener(), manager);
+  if (options.for_grpc_clients) {
+    PackAny(listener.mutable_api_listener()->mutable_api_listener(), manager);
   } else {
     auto* const address = listener.mutable_address()->mutable_socket_address();
     address->set_address(from.address.address().to_string());
     address->set_port_value(from.address.port());
     auto* const network = listener.add_filter_chains()->add_filters();
     network->set_name("envoy.filters.network.http_connection_manager");
-    Pack(network->mutable_typed_config(), manager);
+    PackAny(network->mutable_typed_config(), manager);
   }
-  Put(resources, from.id, listener);
+  AddResource(resources, from.id, listener);
 }
 
 }  // namespace
@@ -220,103 +220,107 @@
 namespace {
 
 // The resource, or one of before that says the same.
-ResourcePtr Kept(ResourcePtr made, const ResourcePtr& before) {
+ResourcePtr ReuseIfUnchanged(ResourcePtr made, const ResourcePtr& before) {
   return before && before->version == made->version ? before : made;
 }
 
 // RFC 3986's unreserved characters stay, for a name in a URI.
-std::string UriPart(const std::string& text) {
+std::string PercentEncode(const std::string& text) {
   std::string out;
   for (const char c : text) {
     const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
                        c == '-' || c == '.' || c == '_' || c == '~';
-    char coded[4];
-    std::snprintf(coded, sizeof coded, "%%%02X", static_cast<unsigned char>(c));
-    out += plain ? std::string(1, c) : coded;
+    char encoded[4];
+    std::snprintf(encoded, sizeof encoded, "%%%02X", static_cast<unsigned char>(c));
+    out += plain ? std::string(1, c) : encoded;
   }
   return out;
 }
 
-std::string Collections(const std::string& pool) {
-  return "xdstp:///envoy.config.endpoint.v3.LbEndpoint/" + UriPart(pool) + "/";
+std::string CollectionsPrefix(const std::string& pool) {
+  return "xdstp:///envoy.config.endpoint.v3.LbEndpoint/" + PercentEncode(pool) + "/";
 }
 
-std::string Collection(const std::string& pool, const std::string& zone) {
-  return Collections(pool) + "zone-" + UriPart(zone) + "/";
+std::string CollectionName(const std::string& pool, const std::string& zone) {
+  return CollectionsPrefix(pool) + "zone-" + PercentEncode(zone) + "/";
 }
 
-envoy::config::endpoint::v3::ClusterLoadAssignment EmptyList(const std::string& pool,
-                                                             const ResourceOptions& options) {
+envoy::config::endpoint::v3::ClusterLoadAssignment MakeLoadAssignment(const std::string& pool,
+                                                                      const ResourceOptions& options) {
   envoy::config::endpoint::v3::ClusterLoadAssignment list;
   list.set_cluster_name(pool);
-  if (options.stale_after > 0)
-    SetDuration(list.mutable_policy()->mutable_endpoint_stale_after(), options.stale_after);
+  if (options.endpoint_stale_after > 0)
+    SetDuration(list.mutable_policy()->mutable_endpoint_stale_after(), options.endpoint_stale_after);
   return list;
 }
 
-void SetMember(envoy::config::endpoint::v3::LbEndpoint* to, const Assigned& endpoint) {
+void FillLbEndpoint(envoy::config::endpoint::v3::LbEndpoint* to, const EndpointAssignment& endpoint) {
   auto* const address = to->mutable_endpoint()->mutable_address()->mutable_socket_address();
   address->set_address(endpoint.address);
   address->set_port_value(endpoint.port);
-  to->set_health_status(endpoint.standing == Standing::kUp    ? core::HEALTHY
-                        : endpoint.standing == Standing::kOut ? core::UNHEALTHY
-                                                              : core::DRAINING);
+  to->set_health_status(endpoint.health == EndpointHealth::kHealthy   ? core::HEALTHY
+                        : endpoint.health == EndpointHealth::kEjected ? core::UNHEALTHY
+                                                                      : core::DRAINING);
   to->mutable_load_balancing_weight()->set_value(std::max(1u, endpoint.weight));
 }
 
 }  // namespace
 
-EndpointParts UnknownEndpoints(const std::string& pool, const ResourceOptions& options) {
-  EndpointParts parts;
-  parts.list = MakePlaceholder(pool);
-  if (options.each_endpoint) parts.members[Collections(pool)] = MakePlaceholder(Collections(pool));
-  return parts;
+EndpointResources MakePlaceholderEndpoints(const std::string& pool, const ResourceOptions& options) {
+  EndpointResources resources;
+  resources.load_assignment = MakePlaceholder(pool);
+  if (options.uses_leds)
+    resources.lb_endpoints[CollectionsPrefix(pool)] = MakePlaceholder(CollectionsPrefix(pool));
+  return resources;
 }
 
-std::string MemberName(const std::string& pool, const Assigned& endpoint) {
-  return Collection(pool, endpoint.zone) + UriPart(endpoint.id);
+std::string LbEndpointName(const std::string& pool, const EndpointAssignment& endpoint) {
+  return CollectionName(pool, endpoint.zone) + PercentEncode(endpoint.id);
 }
 
-ResourcePtr BuildMember(const std::string& pool, const Assigned& endpoint, const ResourcePtr& before) {
+ResourcePtr BuildLbEndpoint(const std::string& pool, const EndpointAssignment& endpoint,
+                            const ResourcePtr& before) {
   envoy::config::endpoint::v3::LbEndpoint member;
-  SetMember(&member, endpoint);
-  return Kept(MakeResource(MemberName(pool, endpoint), Bytes(member)), before);
+  FillLbEndpoint(&member, endpoint);
+  return ReuseIfUnchanged(MakeResource(LbEndpointName(pool, endpoint), SerializeDeterministically(member)),
+                          before);
 }
 
-ResourcePtr BuildCollections(const std::string& pool, const std::set<std::string>& zones,
-                             const ResourceOptions& options, const ResourcePtr& before) {
-  auto list = EmptyList(pool, options);
+ResourcePtr BuildLedsAssignment(const std::string& pool, const std::set<std::string>& zones,
+                                const ResourceOptions& options, const ResourcePtr& before) {
+  auto list = MakeLoadAssignment(pool, options);
   for (const std::string& zone : zones) {
     auto* const locality = list.add_endpoints();
     locality->mutable_locality()->set_zone(zone);
     auto* const leds = locality->mutable_leds_cluster_locality_config();
     SetAds(leds->mutable_leds_config());
-    leds->set_leds_collection_name(Collection(pool, zone) + "*");
+    leds->set_leds_collection_name(CollectionName(pool, zone) + "*");
   }
-  return Kept(MakeResource(pool, Bytes(list)), before);
+  return ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(list)), before);
 }
 
-EndpointParts BuildEndpoints(const std::string& pool, const std::vector<Assigned>& endpoints,
-                             const ResourceOptions& options, const EndpointParts& before) {
-  EndpointParts parts;
-  if (options.each_endpoint) {
+EndpointResources BuildEndpointResources(const std::string& pool,
+                                         const std::vector<EndpointAssignment>& endpoints,
+                                         const ResourceOptions& options, const EndpointResources& before) {
+  EndpointResources resources;
+  if (options.uses_leds) {
     std::set<std::string> zones;
-    for (const Assigned& endpoint : endpoints) {
+    for (const EndpointAssignment& endpoint : endpoints) {
       zones.insert(endpoint.zone);
-      const std::string name = MemberName(pool, endpoint);
-      const auto found = before.members.find(name);
-      parts.members[name] =
-          BuildMember(pool, endpoint, found == before.members.end() ? nullptr : found->second);
+      const std::string name = LbEndpointName(pool, endpoint);
+      const auto found = before.lb_endpoints.find(name);
+      resources.lb_endpoints[name] =
+          BuildLbEndpoint(pool, endpoint, found == before.lb_endpoints.end() ? nullptr : found->second);
     }
-    parts.list = BuildCollections(pool, zones, options, before.list);
-    return parts;
+    resources.load_assignment = BuildLedsAssignment(pool, zones, options, before.load_assignment);
+    return resources;
   }
-  auto all = EmptyList(pool, options);
+  auto all = MakeLoadAssignment(pool, options);
   // In an order of their own, by zone. gRPC clients go by the weights of localities alone: each endpoint is
   // one to them.
-  std::map<std::pair<std::string, std::string>, std::map<std::string, const Assigned*>> places;
-  for (const Assigned& endpoint : endpoints) {
-    places[{endpoint.zone, options.grpc_clients ? endpoint.id : ""}][endpoint.id] = &endpoint;
+  std::map<std::pair<std::string, std::string>, std::map<std::string, const EndpointAssignment*>> places;
+  for (const EndpointAssignment& endpoint : endpoints) {
+    places[{endpoint.zone, options.for_grpc_clients ? endpoint.id : ""}][endpoint.id] = &endpoint;
   }
   for (const auto& [place, members] : places) {
     auto* const locality = all.add_endpoints();
@@ -324,46 +328,47 @@
     locality->mutable_locality()->set_sub_zone(place.second);
     std::uint64_t sum = 0;
     for (const auto& [id, endpoint] : members) {
-      SetMember(locality->add_lb_endpoints(), *endpoint);
-      if (endpoint->standing == Standing::kUp) sum += std::max(1u, endpoint->weight);
+      FillLbEndpoint(locality->add_lb_endpoints(), *endpoint);
+      if (endpoint->health == EndpointHealth::kHealthy) sum += std::max(1u, endpoint->weight);
     }
-    if (options.grpc_clients && sum == 0) {  // else a share of the calls would find nobody there
+    if (options.for_grpc_clients && sum == 0) {  // else a share of the calls would find nobody there
       all.mutable_endpoints()->RemoveLast();
       continue;
     }
     locality->mutable_load_balancing_weight()->set_value(
         static_cast<std::uint32_t>(std::clamp<std::uint64_t>(sum, 1, 0x7fffffff)));
   }
-  parts.list = Kept(MakeResource(pool, Bytes(all)), before.list);
-  return parts;
+  resources.load_assignment =
+      ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(all)), before.load_assignment);
+  return resources;
 }
 
-std::array<ResourceMap, kResourceTypeCount> BuildRouting(const config::Services& services,
-                                                         const ResourceOptions& options) {
+std::array<ResourceMap, kResourceTypeCount> BuildRoutingResources(const config::Services& services,
+                                                                  const ResourceOptions& options) {
   std::array<ResourceMap, kResourceTypeCount> all;
   const auto of = [&](ResourceType type) -> ResourceMap& { return all[static_cast<std::size_t>(type)]; };
   for (const config::Pool& pool : services.pools) {
     if (options.pools.empty() || options.pools.contains(pool.id))
-      Put(of(ResourceType::kCluster), pool.id, ToCluster(pool, options));
+      AddResource(of(ResourceType::kCluster), pool.id, ToCluster(pool, options));
   }
   for (const config::Listener& listener : services.listeners) {
     if (!options.listeners.empty() && !options.listeners.contains(listener.id)) continue;
-    PutListener(of(ResourceType::kListener), listener, options);
-    PutRoutes(of(ResourceType::kRoute), services, listener, options);
+    AddListener(of(ResourceType::kListener), listener, options);
+    AddRouteConfiguration(of(ResourceType::kRoute), services, listener, options);
   }
   return all;
 }
 
 std::shared_ptr<const Snapshot> BuildSnapshot(const config::Services& services,
-                                              const Assignments& assignments,
+                                              const EndpointAssignments& assignments,
                                               const ResourceOptions& options) {
-  auto all = BuildRouting(services, options);
+  auto all = BuildRoutingResources(services, options);
   for (const auto& [pool, cluster] : all[static_cast<std::size_t>(ResourceType::kCluster)]) {
     const auto found = assignments.find(pool);
-    EndpointParts parts =
-        BuildEndpoints(pool, found == assignments.end() ? std::vector<Assigned>() : found->second, options);
-    all[static_cast<std::size_t>(ResourceType::kEndpoint)][pool] = parts.list;
-    all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].merge(parts.members);
+    EndpointResources resources = BuildEndpointResources(
+        pool, found == assignments.end() ? std::vector<EndpointAssignment>() : found->second, options);
+    all[static_cast<std::size_t>(ResourceType::kEndpoint)][pool] = resources.load_assignment;
+    all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].merge(resources.lb_endpoints);
   }
   return std::make_shared<Snapshot>(std::move(all));
 }
--- a/src/xds/resources.hpp
+++ b/src/xds/resources.hpp
@@ -16,57 +16,61 @@
 
 namespace opalswitch::xds {
 
-enum class Standing { kUp, kOut, kDraining };  // kOut: listed, and not to be used
+enum class EndpointHealth { kHealthy, kEjected, kDraining };  // kOut: listed, and not to be used
 
-struct Assigned {
+struct EndpointAssignment {
   std::string id, zone;
   std::string address;  // an IP address
   std::uint16_t port = 0;
   std::uint32_t weight = 1;  // over all of the pool's; at least 1
-  Standing standing = Standing::kUp;
+  EndpointHealth health = EndpointHealth::kHealthy;
 };
 
 // A pool's endpoints, by its id.
-using Assignments = std::map<std::string, std::vector<Assigned>>;
+using EndpointAssignments = std::map<std::string, std::vector<EndpointAssignment>>;
 
 struct ResourceOptions {
   // The proxies are gRPC clients: listeners by their names, without addresses, and endpoints as localities of
   // their own, for these clients know the weights of localities alone.
-  bool grpc_clients = false;
-  bool each_endpoint = false;  // lists of endpoints lead to collections of members (LEDS)
-  Millis stale_after = 0;      // endpoints are not to be used for longer without news; 0 = for ever
-  bool load_reports = true;
+  bool for_grpc_clients = false;
+  bool uses_leds = false;           // lists of endpoints lead to collections of members (LEDS)
+  Millis endpoint_stale_after = 0;  // endpoints are not to be used for longer without news; 0 = for ever
+  bool requests_load_reports = true;
   std::set<std::string> pools, listeners;  // that the proxies are told of; empty = all
 };
 
 // One pool's endpoints: their list, and, where the list leads to them, its members.
-struct EndpointParts {
-  ResourcePtr list;
-  ResourceMap members;
+struct EndpointResources {
+  ResourcePtr load_assignment;
+  ResourceMap lb_endpoints;
 };
 
 // Routes follow the file's order within each host pattern; see docs/design/02-xds.md.
 std::shared_ptr<const Snapshot> BuildSnapshot(const config::Services& services,
-                                              const Assignments& assignments, const ResourceOptions& options);
+                                              const EndpointAssignments& assignments,
+                                              const ResourceOptions& options);
 
 // The endpoints of one pool alone, for a change that touches nothing else. What has the same content in
 // `before` is taken from there.
-EndpointParts BuildEndpoints(const std::string& pool, const std::vector<Assigned>& endpoints,
-                             const ResourceOptions& options, const EndpointParts& before = {});
+EndpointResources BuildEndpointResources(const std::string& pool,
+                                         const std::vector<EndpointAssignment>& endpoints,
+                                         const ResourceOptions& options,
+                                         const EndpointResources& before = {});
 
 // In the place of a pool's endpoints that are not known yet: proxies keep what they have.
-EndpointParts UnknownEndpoints(const std::string& pool, const ResourceOptions& options);
+EndpointResources MakePlaceholderEndpoints(const std::string& pool, const ResourceOptions& options);
 
 // The name of an endpoint as a member of its collection, and the member.
-std::string MemberName(const std::string& pool, const Assigned& endpoint);
-ResourcePtr BuildMember(const std::string& pool, const Assigned& endpoint, const ResourcePtr& before);
+std::string LbEndpointName(const std::string& pool, const EndpointAssignment& endpoint);
+ResourcePtr BuildLbEndpoint(const std::string& pool, const EndpointAssignment& endpoint,
+                            const ResourcePtr& before);
 // The list that leads to the collections of these zones.
-ResourcePtr BuildCollections(const std::string& pool, const std::set<std::string>& zones,
-                             const ResourceOptions& options, const ResourcePtr& before);
+ResourcePtr BuildLedsAssignment(const std::string& pool, const std::set<std::string>& zones,
+                                const ResourceOptions& options, const ResourcePtr& before);
 
 // The clusters of all pools, and the listeners and routes to them.
-std::array<ResourceMap, kResourceTypeCount> BuildRouting(const config::Services& services,
-                                                         const ResourceOptions& options);
+std::array<ResourceMap, kResourceTypeCount> BuildRoutingResources(const config::Services& services,
+                                                                  const ResourceOptions& options);
 
 }  // namespace opalswitch::xds
 
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -10,9 +10,9 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Assigned;
 using xds::Decider;
-using xds::Standing;
+using xds::EndpointAssignment;
+using xds::EndpointHealth;
 
 Settings Warming() {
   Settings settings;
@@ -51,8 +51,8 @@
   void Run(Millis ms) {
     for (const Millis end = now + ms; now < end; now += 10) decider.Tick(now);
   }
-  Assigned Of(int host) {
-    for (const Assigned& to : decider.Endpoints()) {
+  EndpointAssignment Of(int host) {
+    for (const EndpointAssignment& to : decider.Endpoints()) {
       if (to.id == "h" + std::to_string(host)) return to;
     }
     ADD_FAILURE() << host;
@@ -60,7 +60,7 @@
   }
   int Usable() {
     int n = 0;
-    for (const Assigned& to : decider.Endpoints()) n += to.standing == Standing::kUp;
+    for (const EndpointAssignment& to : decider.Endpoints()) n += to.health == EndpointHealth::kHealthy;
     return n;
   }
 
@@ -107,14 +107,14 @@
     world.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {100, 0}}, {3, {0, 100}}});
     world.Run(1000);
   }
-  EXPECT_EQ(world.Usable() + (world.Of(3).standing == Standing::kUp ? 0 : 1), 4);
+  EXPECT_EQ(world.Usable() + (world.Of(3).health == EndpointHealth::kHealthy ? 0 : 1), 4);
   EXPECT_LE(world.Of(3).weight * 20, world.Of(0).weight);  // out, or on trial with next to nothing
   // It is tried: reports on it come in again, first bad, then good.
   bool out = false, tried = false;
   for (int i = 0; i < 300; ++i) {
     world.Run(100);
-    out = out || world.Of(3).standing == Standing::kOut;
-    if (world.Of(3).standing != Standing::kUp) continue;
+    out = out || world.Of(3).health == EndpointHealth::kEjected;
+    if (world.Of(3).health != EndpointHealth::kHealthy) continue;
     tried = true;
     if (i % 10 == 0 && i < 100) world.Report("p", {{3, {0, 5}}});
   }
@@ -124,7 +124,7 @@
     world.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {100, 0}}, {3, {5, 0}}});
     world.Run(1000);
   }
-  EXPECT_EQ(world.Of(3).standing, Standing::kUp);
+  EXPECT_EQ(world.Of(3).health, EndpointHealth::kHealthy);
   EXPECT_GT(world.Of(3).weight * 2, world.Of(0).weight);
 }
 
@@ -167,8 +167,8 @@
   world.decider.Told(world.list, world.now);
   world.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {0, 100}}});  // of the second before it came
   world.Run(500);
-  for (const Assigned& to : world.decider.Endpoints()) {
-    EXPECT_EQ(to.standing, Standing::kUp) << to.id;
+  for (const EndpointAssignment& to : world.decider.Endpoints()) {
+    EXPECT_EQ(to.health, EndpointHealth::kHealthy) << to.id;
     EXPECT_GT(to.weight, 50u) << to.id;
   }
 }
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -14,7 +14,7 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Standing;
+using xds::EndpointHealth;
 using xds::StreamHub;
 
 // A server that answers every call with its name.
@@ -88,19 +88,19 @@
   ASSERT_TRUE(parsed.services);
   Named a("a"), b("b");
   xds::Server control{xds::ServerOptions()};
-  const auto publish = [&](Standing standing_of_a) {
-    const xds::Assignments nodes = {
+  const auto publish = [&](EndpointHealth health_of_a) {
+    const xds::EndpointAssignments nodes = {
         {"one",
-         {{"a", "", "127.0.0.1", static_cast<std::uint16_t>(a.port()), 300, standing_of_a},
-          {"b", "", "127.0.0.1", static_cast<std::uint16_t>(b.port()), 100, Standing::kUp}}}};
+         {{"a", "", "127.0.0.1", static_cast<std::uint16_t>(a.port()), 300, health_of_a},
+          {"b", "", "127.0.0.1", static_cast<std::uint16_t>(b.port()), 100, EndpointHealth::kHealthy}}}};
     xds::ResourceOptions options;
-    options.grpc_clients = true;
-    options.load_reports = false;
+    options.for_grpc_clients = true;
+    options.requests_load_reports = false;
     control.With([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*parsed.services, nodes, options), true, now);
     });
   };
-  publish(Standing::kUp);
+  publish(EndpointHealth::kHealthy);
   const std::string bootstrap =
       "{\"xds_servers\":[{\"server_uri\":\"127.0.0.1:" + std::to_string(control.port()) +
       "\",\"channel_creds\":[{\"type\":\"insecure\"}],\"server_features\":[\"xds_v3\"]}],"
@@ -117,7 +117,7 @@
   // Three to one; a ring of hashes and 400 draws leave some play.
   EXPECT_GT(from_a, 220);
   EXPECT_GT(from_b, 40);
-  publish(Standing::kDraining);
+  publish(EndpointHealth::kDraining);
   // Told is not yet followed; that shows by itself soon, and then for good.
   int in_a_row = 0;
   for (int i = 0; i < 20000 && in_a_row < 60; ++i) in_a_row = Ask(channel) == "b" ? in_a_row + 1 : 0;
--- a/tests/xds_resources_test.cpp
+++ b/tests/xds_resources_test.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 namespace route = envoy::config::route::v3;
-using xds::Assigned;
+using xds::EndpointAssignment;
+using xds::EndpointHealth;
 using xds::ResourceType;
-using xds::Standing;
 
 std::shared_ptr<const config::Services> File(const std::string& routes) {
   return Parsed(kListenerAndClasses + R"([request]
@@ -153,13 +153,13 @@
 
 TEST(XdsResources, HaveVersionsOfTheirContentAlone) {
   const auto services = File("[[route]]\npool = \"one\"\nclass = \"view\"\n");
-  xds::Assignments one = {
-      {"one",
-       {{"a", "z", "10.0.0.1", 80, 100, Standing::kUp}, {"b", "z", "10.0.0.2", 80, 50, Standing::kUp}}}};
-  xds::Assignments same = one;
+  xds::EndpointAssignments one = {{"one",
+                                   {{"a", "z", "10.0.0.1", 80, 100, EndpointHealth::kHealthy},
+                                    {"b", "z", "10.0.0.2", 80, 50, EndpointHealth::kHealthy}}}};
+  xds::EndpointAssignments same = one;
   std::swap(same["one"][0], same["one"][1]);
-  xds::Assignments drained = one;
-  drained["one"][0].standing = Standing::kDraining;
+  xds::EndpointAssignments drained = one;
+  drained["one"][0].health = EndpointHealth::kDraining;
   const auto a = xds::BuildSnapshot(*services, one, {}), b = xds::BuildSnapshot(*services, same, {}),
              c = xds::BuildSnapshot(*services, drained, {});
   for (const ResourceType type :
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 using Reply = XdsClient::Reply;
+using xds::EndpointHealth;
 using xds::ResourceType;
-using xds::Standing;
 using xds::StreamHub;
 
 std::shared_ptr<const config::Services> Services() {
@@ -27,9 +27,9 @@
 )" + kRoutesToOneAndTwo);
 }
 
-xds::Assignments Nodes(Standing first = Standing::kUp, std::uint32_t weight = 100) {
-  const std::vector<xds::Assigned> nodes = {{"a", "", "10.0.0.1", 80, weight, first},
-                                            {"b", "", "10.0.0.2", 80, 100, Standing::kUp}};
+xds::EndpointAssignments Nodes(EndpointHealth first = EndpointHealth::kHealthy, std::uint32_t weight = 100) {
+  const std::vector<xds::EndpointAssignment> nodes = {
+      {"a", "", "10.0.0.1", 80, weight, first}, {"b", "", "10.0.0.2", 80, 100, EndpointHealth::kHealthy}};
   return {{"one", nodes}, {"two", nodes}};
 }
 
@@ -44,7 +44,7 @@
     });
     Publish(Nodes(), true);
   }
-  void Publish(const xds::Assignments& nodes, bool urgent) {
+  void Publish(const xds::EndpointAssignments& nodes, bool urgent) {
     server->With([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*services, nodes, {}), urgent, now);
     });
@@ -82,7 +82,7 @@
   EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").until);  // none
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() >= 2; }));
   const std::string before = client.Version(ResourceType::kEndpoint, "one");
-  world.Publish(Nodes(Standing::kDraining), true);
+  world.Publish(Nodes(EndpointHealth::kDraining), true);
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "one") != before; }));
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "two") != before; }));
   EXPECT_FALSE(client.Routes("one", "10.0.0.1"));
@@ -101,7 +101,7 @@
     client.Await([&] { return seen >= std::min(boundary, 4); });
     client.Drop();
     client.reply = [](ResourceType, auto&) { return Reply::kAck; };
-    world.Publish(Nodes(boundary % 2 == 0 ? Standing::kDraining : Standing::kUp), true);
+    world.Publish(Nodes(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy), true);
     SubscribeToAll(client);
     ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << boundary;
     ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0; })) << boundary;
@@ -213,15 +213,15 @@
   request.add_resource_names_subscribe("one");
   never_read->Write(request);
   ASSERT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 2; }));
-  std::vector<xds::Assigned> many;
+  std::vector<xds::EndpointAssignment> many;
   for (int i = 0; i < 4000; ++i)
-    many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, Standing::kUp});
+    many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, EndpointHealth::kHealthy});
   for (std::uint32_t weight = 1; weight < 7; ++weight) {
     many[0].weight = weight;
     world.Publish({{"one", many}, {"two", {}}}, true);
   }
   EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 1; }));
-  world.Publish(Nodes(Standing::kDraining), true);
+  world.Publish(Nodes(EndpointHealth::kDraining), true);
   EXPECT_TRUE(good.Await(
       [&] { return !good.RoutesAsHeld("one", "10.0.0.1") && good.RoutesAsHeld("one", "10.0.0.2"); }));
   context.TryCancel();
@@ -251,7 +251,7 @@
     ASSERT_TRUE(proxy->Await([&] { return proxy->RoutesAsHeld("one", "10.0.0.1") || proxy->ended(); }))
         << proxy->answers(ResourceType::kEndpoint);
   for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
-  std::thread drain([&] { world.Publish(Nodes(Standing::kDraining), true); });  // in the middle of it
+  std::thread drain([&] { world.Publish(Nodes(EndpointHealth::kDraining), true); });  // in the middle of it
   each([&](XdsClient& proxy) {
     proxy.Drop();
     connect(proxy);
