--- a/src/xds/decider.hpp
+++ b/src/xds/decider.hpp
@@ -18,7 +18,7 @@
 
 #include "membership/host_list.hpp"
 #include "opalswitch/policy.hpp"
-#include "xds/evidence.hpp"
+#include "xds/load_aggregator.hpp"
 #include "xds/resources.hpp"
 
 namespace opalswitch::xds {
@@ -83,7 +83,7 @@
   bool Draw(const std::string& host, Known& known, Millis since, Millis now, Result& result, Millis& latency);
 
   Policy policy_;
-  Evidence evidence_;
+  LoadAggregator evidence_;
   std::map<std::string, Known> hosts_;
   std::map<std::string, std::string> by_address_;
   std::set<std::string> suspects_;  // as of the last tick
--- a/src/xds/load_report.hpp
+++ b/src/xds/load_report.hpp
@@ -31,16 +31,16 @@
   std::vector<EndpointLoad> endpoints;
 };
 
-struct ReportBounds {
-  std::size_t clusters = 1000;
-  std::size_t endpoints = 20000;  // over all clusters of one report
+struct LoadReportLimits {
+  std::size_t max_clusters = 1000;
+  std::size_t max_endpoints = 20000;  // over all clusters of one report
 };
 
-// Numbers that no proxy can have had are cut to ones that it could; what is beyond the bounds is left out.
+// Numbers that no proxy can have had are cut to ones that it could; what is beyond the limits is left out.
 // Of a locality without endpoints of its own, one entry without an address is made. The mean latency is read
 // from the load metrics "latency_ms" or "rtt_ms".
-std::vector<LoadReport> ReadLoads(const envoy::service::load_stats::v3::LoadStatsRequest& request,
-                                  const ReportBounds& bounds = ReportBounds());
+std::vector<LoadReport> ParseLoadReports(const envoy::service::load_stats::v3::LoadStatsRequest& request,
+                                         const LoadReportLimits& limits = LoadReportLimits());
 
 }  // namespace opalswitch::xds
 
--- a/src/xds/load_service.cpp
+++ b/src/xds/load_service.cpp
@@ -49,7 +49,7 @@
 
   // On the loop's thread.
   void Take(Millis now) {
-    const auto reports = ReadLoads(request_);
+    const auto reports = ParseLoadReports(request_);
     if (!std::exchange(known_, true)) {
       const auto& node = request_.node();
       node_ = {node.id(), node.cluster(), node.locality().zone()};
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -26,9 +26,7 @@
 enum Exit { kDone = 0, kFailed = 1, kStillWaiting = 4 };
 
 const char* TextOf(EndpointHealth health) {
-  return standing == EndpointHealth::kHealthy   ? "up"
-         : standing == EndpointHealth::kEjected ? "out"
-                                                : "draining";
+  return health == EndpointHealth::kHealthy ? "up" : health == EndpointHealth::kEjected ? "out" : "draining";
 }
 
 const char* ShortName(ResourceType type) {
--- a/tests/xds_load_report_test.cpp
+++ b/tests/xds_load_report_test.cpp
@@ -1,4 +1,4 @@
-// What proxies report: read from their messages, and brought to one word a host that no liar makes up.
+// What proxies report: read from their messages, and brought to one estimate a host that no liar makes up.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -6,14 +6,14 @@
 #include <random>
 
 #include "envoy/service/load_stats/v3/lrs.pb.h"
-#include "xds/evidence.hpp"
+#include "xds/load_aggregator.hpp"
 #include "xds/load_report.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
 using xds::EndpointLoad;
-using xds::Evidence;
+using xds::LoadAggregator;
 namespace stats = envoy::service::load_stats::v3;
 
 EndpointLoad Load(double served, double failed, double out = 0, Millis latency = 0) {
@@ -45,7 +45,7 @@
   auto* const whole = cluster->add_upstream_locality_stats();
   whole->mutable_locality()->set_sub_zone("host-2");
   whole->set_total_error_requests(5);
-  const auto reports = xds::ReadLoads(request);
+  const auto reports = xds::ParseLoadReports(request);
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].pool, "one");
   EXPECT_EQ(reports[0].interval, 2000);
@@ -76,7 +76,7 @@
       metric->set_total_metric_value(std::nan(""));
     }
   }
-  const auto reports = xds::ReadLoads(request, {2, 15});
+  const auto reports = xds::ParseLoadReports(request, {2, 15});
   ASSERT_EQ(reports.size(), 2u);
   EXPECT_EQ(reports[0].endpoints.size() + reports[1].endpoints.size(), 15u);
   EXPECT_GT(reports[0].interval, 0);
@@ -91,47 +91,48 @@
     for (char& c : bytes) c = static_cast<char>(random());
     stats::LoadStatsRequest request;
     if (!request.ParseFromString(bytes)) continue;
-    for (const auto& report : xds::ReadLoads(request)) {
+    for (const auto& report : xds::ParseLoadReports(request)) {
       EXPECT_GT(report.interval, 0);
       for (const auto& load : report.endpoints) EXPECT_TRUE(std::isfinite(load.served + load.latency));
     }
   }
 }
 
-TEST(XdsEvidence, AMinorityOfLiarsMakesNoHealthyHostLookIll) {
+TEST(XdsLoadAggregator, AMinorityOfLiarsMakesNoHealthyHostLookIll) {
   for (int proxies = 2; proxies <= 9; ++proxies) {
     for (int liars = 0; liars <= proxies; ++liars) {
-      Evidence evidence;
+      LoadAggregator aggregator;
       for (int i = 0; i < proxies; ++i) {
-        evidence.Heard("a", "p" + std::to_string(i), i < liars ? Load(0, 1e9) : Load(100, 1), 1000, 0);
+        aggregator.AddReport("a", "p" + std::to_string(i), i < liars ? Load(0, 1e9) : Load(100, 1), 1000, 0);
       }
-      const auto word = evidence.Of("a", 0, 0);
-      ASSERT_TRUE(word);
-      EXPECT_EQ(word->proxies, static_cast<std::size_t>(proxies));
+      const auto estimate = aggregator.Estimate("a", 0, 0);
+      ASSERT_TRUE(estimate);
+      EXPECT_EQ(estimate->reporter_count, static_cast<std::size_t>(proxies));
       // Of an even number half are not enough to be believed.
-      EXPECT_EQ(word->failing, 2 * liars > proxies ? 1.0 : 1.0 / 101) << liars << " of " << proxies;
+      EXPECT_EQ(estimate->failure_fraction, 2 * liars > proxies ? 1.0 : 1.0 / 101)
+          << liars << " of " << proxies;
     }
   }
 }
 
-TEST(XdsEvidence, FindsTheLatencyByLittlesLawWhereNoneIsTold) {
-  Evidence evidence;
-  evidence.Heard("a", "p", Load(1000, 0, 20), 1000, 0);  // 20 out at 1 a ms
-  EXPECT_NEAR(evidence.Of("a", 0, 0)->latency, 20, 1e-9);
-  evidence.Heard("a", "p", Load(1000, 0, 0, 7), 1000, 0);
-  EXPECT_EQ(evidence.Of("a", 0, 0)->latency, 7);
+TEST(XdsLoadAggregator, FindsTheLatencyByLittlesLawWhereNoneIsTold) {
+  LoadAggregator aggregator;
+  aggregator.AddReport("a", "p", Load(1000, 0, 20), 1000, 0);  // 20 out at 1 a ms
+  EXPECT_NEAR(aggregator.Estimate("a", 0, 0)->latency, 20, 1e-9);
+  aggregator.AddReport("a", "p", Load(1000, 0, 0, 7), 1000, 0);
+  EXPECT_EQ(aggregator.Estimate("a", 0, 0)->latency, 7);
 }
 
-TEST(XdsEvidence, OldWordsFadeAndFewProxiesAreRemembered) {
-  Evidence evidence;
-  evidence.Heard("a", "old", Load(0, 10), 1000, 0);
-  EXPECT_TRUE(evidence.Of("a", 0, 9000));
-  EXPECT_FALSE(evidence.Of("a", 0, 11000));
-  EXPECT_FALSE(evidence.Of("a", 1, 1));  // from before
-  for (int i = 0; i < 1000; ++i) evidence.Heard("a", "p" + std::to_string(i), Load(10, 0), 1000, 1 + i);
-  EXPECT_EQ(evidence.Of("a", 0, 1000)->proxies, 32u);
-  evidence.Heard("b", "p", Load(0, 0, 5), 1000, 0);  // nothing was seen
-  EXPECT_FALSE(evidence.Of("b", 0, 0));
+TEST(XdsLoadAggregator, OldWordsFadeAndFewProxiesAreRemembered) {
+  LoadAggregator aggregator;
+  aggregator.AddReport("a", "old", Load(0, 10), 1000, 0);
+  EXPECT_TRUE(aggregator.Estimate("a", 0, 9000));
+  EXPECT_FALSE(aggregator.Estimate("a", 0, 11000));
+  EXPECT_FALSE(aggregator.Estimate("a", 1, 1));  // from before
+  for (int i = 0; i < 1000; ++i) aggregator.AddReport("a", "p" + std::to_string(i), Load(10, 0), 1000, 1 + i);
+  EXPECT_EQ(aggregator.Estimate("a", 0, 1000)->reporter_count, 32u);
+  aggregator.AddReport("b", "p", Load(0, 0, 5), 1000, 0);  // nothing was seen
+  EXPECT_FALSE(aggregator.Estimate("b", 0, 0));
 }
 
 }  // namespace
