--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -143,7 +143,7 @@
     if (drained_.contains(host.server.id) && host.server.state == ServerState::kUp)
       host.server.state = ServerState::kDraining;
   }
-  pool.decider.Told(own, now);
+  pool.decider.UpdateMembership(own, now);
   pool.listed = true;
   SayLog(id, pool);
 }
@@ -186,7 +186,7 @@
     const auto found = pools_.find(report.pool);
     if (found == pools_.end()) continue;
     ++reports_;
-    found->second->decider.Heard(proxy.id, report, now);
+    found->second->decider.AddLoadReport(proxy.id, report, now);
   }
 }
 
@@ -260,7 +260,7 @@
   std::set<std::string> changed;
   for (const std::string& host : hosts) {
     const auto found = pool.told.find(host);
-    const auto state = pool.decider.StateOf(host);
+    const auto state = pool.decider.FindState(host);
     if (found == pool.told.end() || state == ServerState::kUp) continue;
     EndpointAssignment next = found->second;
     if (state && next.health == EndpointHealth::kDraining) continue;
--- a/src/xds/control.hpp
+++ b/src/xds/control.hpp
@@ -19,7 +19,7 @@
 #include "config/services.hpp"
 #include "membership/host_list.hpp"
 #include "membership/node_registry.hpp"
-#include "xds/decider.hpp"
+#include "xds/pool_decider.hpp"
 #include "xds/resources.hpp"
 #include "xds/stream_hub.hpp"
 
@@ -51,7 +51,7 @@
   struct PoolStatus {
     std::string id;
     bool strict;
-    std::vector<Decider::HostStatus> hosts;
+    std::vector<PoolDecider::HostStatus> hosts;
   };
   std::vector<PoolStatus> Status(Millis now) const;
   std::uint64_t reports() const { return reports_; }
@@ -62,7 +62,7 @@
         : definition(from.definition), decider(from.settings, seed) {}
     std::string definition;
     gateway::NodeRegistry::PoolId number = 0;
-    Decider decider;
+    PoolDecider decider;
     bool listed = false;                             // its membership has told of it
     bool published = false;                          // and proxies were told
     std::map<std::string, EndpointAssignment> told;  // as last published, by id
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -92,15 +92,15 @@
         auto* const to = reply->add_pools();
         to->set_id(pool.id);
         to->set_strict(pool.strict);
-        for (const Decider::HostStatus& host : pool.hosts) {
+        for (const PoolDecider::HostStatus& host : pool.hosts) {
           auto* const one = to->add_hosts();
           one->set_id(host.id);
           one->set_address(host.address);
           one->set_standing(TextOf(host.health));
           one->set_weight(host.weight);
-          one->set_trial(host.trial);
-          one->set_failing(host.failing);
-          one->set_reporters(static_cast<std::uint32_t>(host.proxies));
+          one->set_trial(host.is_probed);
+          one->set_failing(host.failure_fraction);
+          one->set_reporters(static_cast<std::uint32_t>(host.reporter_count));
         }
       }
       return Control::Outs();
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -5,14 +5,14 @@
 #include <algorithm>
 #include <map>
 
-#include "xds/decider.hpp"
+#include "xds/pool_decider.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-using xds::Decider;
 using xds::EndpointAssignment;
 using xds::EndpointHealth;
+using xds::PoolDecider;
 
 Settings Warming() {
   Settings settings;
@@ -25,7 +25,7 @@
 struct World {
   explicit World(int hosts, const Settings& settings = Settings()) : decider(settings, 1) {
     for (int i = 0; i < hosts; ++i) list.hosts.push_back(Host(i));
-    decider.Told(list, now);
+    decider.UpdateMembership(list, now);
   }
   static gateway::Host Host(int i) {
     gateway::Host host;
@@ -46,7 +46,7 @@
       load.latency = latency * (slow.contains(host) ? 4 : 1);
       report.endpoints.push_back(load);
     }
-    decider.Heard(by, report, now);
+    decider.AddLoadReport(by, report, now);
   }
   void Run(Millis ms) {
     for (const Millis end = now + ms; now < end; now += 10) decider.Tick(now);
@@ -67,14 +67,14 @@
   Millis now = 1e6;
   gateway::HostList list;
   std::set<int> slow;
-  Decider decider;
+  PoolDecider decider;
 };
 
 TEST(XdsDecider, WithoutReportsSizeAndWarmthAloneCount) {
   World world(3, Warming());
   world.list.hosts[1].server.weight = 2;
   world.list.hosts[2].server.started_at = world.now;
-  world.decider.Told(world.list, world.now);
+  world.decider.UpdateMembership(world.list, world.now);
   EXPECT_EQ(world.Usable(), 3);
   EXPECT_NEAR(world.Of(1).weight, 2.0 * world.Of(0).weight, 2);
   EXPECT_NEAR(world.Of(2).weight, 0.1 * world.Of(0).weight, 2);
@@ -164,7 +164,7 @@
   // Another node at the same address, under a new id.
   world.list.hosts[2].server.id = "new";
   world.list.hosts[2].server.started_at = world.now;
-  world.decider.Told(world.list, world.now);
+  world.decider.UpdateMembership(world.list, world.now);
   world.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {0, 100}}});  // of the second before it came
   world.Run(500);
   for (const EndpointAssignment& to : world.decider.Endpoints()) {
@@ -177,7 +177,7 @@
   World world(2);
   world.Report("p", {{7, {0, 100}}});
   world.Run(1000);
-  EXPECT_EQ(world.decider.unknown(), 1u);
+  EXPECT_EQ(world.decider.unmatched_reports(), 1u);
   EXPECT_EQ(world.Usable(), 2);
 }
 
