--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -11,7 +11,7 @@
 #include <random>
 
 #include "standins/xds_client.hpp"
-#include "xds/control.hpp"
+#include "xds/control_plane.hpp"
 #include "xds/server.hpp"
 
 namespace opalswitch::testing {
@@ -19,7 +19,7 @@
 
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
-using xds::Control;
+using xds::ControlPlane;
 using xds::ResourceType;
 
 constexpr int kNodes = 60;
@@ -42,16 +42,18 @@
   text += "]\n[[route]]\npool = \"p\"\nclass = \"view\"\n";
   const auto parsed = config::ParseServices(text, "bench", "");
   if (!parsed.services) std::abort();
-  std::unique_ptr<Control> control;
+  std::unique_ptr<ControlPlane> control;
   xds::ServerOptions options;
-  options.tick = [&](xds::StreamHub&, Millis now) { return control ? control->Tick(now) : Control::Outs(); };
+  options.tick = [&](xds::StreamHub&, Millis now) {
+    return control ? control->Tick(now) : ControlPlane::OutgoingMessages();
+  };
   xds::Server server(std::move(options));
   server.With([&](xds::StreamHub& hub, Millis now) {
-    control = std::make_unique<Control>(hub, 1, [](const std::string&) {});
+    control = std::make_unique<ControlPlane>(hub, 1, [](const std::string&) {});
     return control->Configure(parsed.services, now);
   });
   server.With([&](xds::StreamHub&, Millis now) {
-    return control->Told("p", {0, true, parsed.services->pools[0].membership.hosts}, now);
+    return control->UpdateMembership("p", {0, true, parsed.services->pools[0].membership.hosts}, now);
   });
   std::vector<std::unique_ptr<XdsClient>> proxies;
   const auto connect = [&](XdsClient& proxy) {
@@ -144,7 +146,7 @@
       Ms(Clock::now() - begun) / 1000);
   std::fflush(stdout);
   for (const auto& proxy : proxies) proxy->Drop();
-  server.With([&](xds::StreamHub&, Millis) { return Control::Outs(); });
+  server.With([&](xds::StreamHub&, Millis) { return ControlPlane::OutgoingMessages(); });
   return late == 0 ? 0 : 1;
 }
 
--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -13,14 +13,14 @@
 
 #include "config/services.hpp"
 #include "envoy/service/discovery/v3/discovery.pb.h"
-#include "xds/control.hpp"
+#include "xds/control_plane.hpp"
 #include "xds/wire.hpp"
 
 namespace opalswitch {
 namespace {
 
 namespace discovery = envoy::service::discovery::v3;
-using xds::Control;
+using xds::ControlPlane;
 using xds::ResourceType;
 using xds::Session;
 using xds::StreamHub;
@@ -60,7 +60,7 @@
           80};
       list.hosts.push_back(host);
     }
-    Deliver(control.Told("p", list, now));
+    Deliver(control.UpdateMembership("p", list, now));
     const double before = static_cast<double>(mallinfo2().uordblks);
     for (StreamHub::StreamId stream = 1; stream <= proxies; ++stream) {
       if (!hub.OpenStream(stream, variant, now)) std::abort();
@@ -113,7 +113,7 @@
   Millis now = 1e6;
   const Session::Variant variant;
   StreamHub hub{xds::StreamHubOptions()};
-  Control control;
+  ControlPlane control;
   double bytes = 0, memory = 0;
 };
 
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -15,7 +15,7 @@
 #include "base/file_watch.hpp"
 #include "config/services.hpp"
 #include "membership/source.hpp"
-#include "xds/control.hpp"
+#include "xds/control_plane.hpp"
 #include "xds/drain_file.hpp"
 #include "xds/operators.hpp"
 #include "xds/server.hpp"
@@ -60,17 +60,17 @@
       : io_(io), drains_(services->control.drains) {
     auto options = OptionsOf(services->control);
     options.tick = [this](xds::StreamHub&, Millis now) {
-      return control_ ? control_->Tick(now) : xds::Control::Outs();
+      return control_ ? control_->Tick(now) : xds::ControlPlane::OutgoingMessages();
     };
     options.report = [this](const xds::ProxyNode& proxy, const std::vector<xds::LoadReport>& reports,
                             Millis now) {
-      if (control_) control_->Heard(proxy, reports, now);
+      if (control_) control_->AddLoadReports(proxy, reports, now);
     };
     const auto drained = drains_.Read();  // before anybody is told anything
     server_ = std::make_unique<xds::Server>(std::move(options));
     server_->With([&](xds::StreamHub& hub, Millis now) {
-      control_ = std::make_unique<xds::Control>(hub, RandomSeed(), Say);
-      control_->Restore(drained);
+      control_ = std::make_unique<xds::ControlPlane>(hub, RandomSeed(), Say);
+      control_->RestoreDrains(drained);
       return control_->Configure(services, now);
     });
     operators_ = std::make_unique<xds::Operators>(
@@ -108,7 +108,8 @@
       }
       gw::Source::Handlers handlers{
           [this, id = pool.id](const gw::HostList& list) {
-            server_->With([&](xds::StreamHub&, Millis now) { return control_->Told(id, list, now); });
+            server_->With(
+                [&](xds::StreamHub&, Millis now) { return control_->UpdateMembership(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
       Followed& to = next[pool.id];
@@ -128,7 +129,7 @@
   asio::io_context& io_;
   xds::DrainFile drains_;
   std::shared_ptr<const config::Services> services_;
-  std::unique_ptr<xds::Control> control_;  // of the deciding thread; ends after it
+  std::unique_ptr<xds::ControlPlane> control_;  // of the deciding thread; ends after it
   std::unique_ptr<xds::Server> server_;
   std::unique_ptr<xds::Operators> operators_;
   std::map<std::string, Followed> sources_;
--- /dev/null
+++ b/src/xds/control_plane.cpp
@@ -0,0 +1,418 @@
+#include "xds/control_plane.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace opalswitch::xds {
+namespace {
+
+constexpr Millis kMinComparisonIntervalMs = 50;        // at weights and failing hosts
+constexpr Millis kComparisonIntervalPerHostMs = 0.05;  // the same, by the number of a pool's hosts
+constexpr std::size_t kMaxDepartedNodes =
+    1000;  // nodes that left a pool while they drained, and are remembered
+
+// Whether what is to be told of an endpoint differs enough from what was.
+bool Differs(const EndpointAssignment& was, const EndpointAssignment& is, double threshold) {
+  if (was.health != is.health || was.zone != is.zone || was.address != is.address || was.port != is.port)
+    return true;
+  const double before = was.weight, after = is.weight;
+  return was.weight != is.weight && std::abs(after - before) >= threshold * before;
+}
+
+void Append(ControlPlane::OutgoingMessages& to, ControlPlane::OutgoingMessages more) {
+  to.insert(to.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
+}
+
+}  // namespace
+
+ControlPlane::ControlPlane(StreamHub& hub, std::uint64_t seed, std::function<void(const std::string&)> log)
+    : hub_(hub), seed_(seed), log_(std::move(log)) {
+  hub_.SetGroupSelector([this](const ProxyNode& node) { return SelectGroup(node); });
+}
+
+ResourceOptions ControlPlane::OptionsFor(EndpointFormat format) const {
+  ResourceOptions options;
+  options.for_grpc_clients = format == kGrpcClients;
+  options.uses_leds = format == kLeds;
+  return options;
+}
+
+const std::string& ControlPlane::SelectGroup(const ProxyNode& node) const {
+  const auto& groups = services_->control.groups;
+  const auto takes = [](const std::vector<std::string>& patterns, const std::string& name) {
+    return patterns.empty() || std::any_of(patterns.begin(), patterns.end(), [&](const std::string& pattern) {
+             return config::Takes(pattern, name);
+           });
+  };
+  for (const config::ControlGroup& group : groups) {
+    if (takes(group.node_ids, node.id) && takes(group.node_clusters, node.cluster) &&
+        takes(group.zones, node.zone))
+      return group.id;
+  }
+  static const std::string kRest;
+  return kRest;
+}
+
+ControlPlane::OutgoingMessages ControlPlane::Configure(std::shared_ptr<const config::Services> services,
+                                                       Millis now) {
+  services_ = std::move(services);
+  std::set<std::string> strict;
+  std::map<std::string, std::unique_ptr<Pool>> pools;
+  for (const config::Pool& from : services_->pools) {
+    if (from.strict) strict.insert(from.id);
+    const auto found = pools_.find(from.id);
+    if (found != pools_.end() && found->second->definition == from.definition) {
+      pools[from.id] = std::move(found->second);
+      continue;
+    }
+    pools[from.id] = std::make_unique<Pool>(from, seed_ + ++pools_created_);
+    pools[from.id]->registry_id = pools_created_;
+    if (found == pools_.end() || !found->second) continue;
+    // Until its membership tells: the hosts that the old pool knew.
+    const gateway::HostList known = nodes_.ViewOf(found->second->registry_id);
+    if (!known.hosts.empty()) ApplyHostList(from.id, *pools[from.id], known, now);
+  }
+  for (const auto& [id, pool] : pools_) {
+    if (pool) nodes_.Forget(pool->registry_id);
+    if (!pools.contains(id)) drain_requirements_.erase(id);
+  }
+  pools_ = std::move(pools);
+  hub_.SetStrictPools(std::move(strict));
+  groups_.clear();
+  for (const config::ControlGroup& from : services_->control.groups) {
+    groups_.push_back({from.id,
+                       from.grpc_clients    ? kGrpcClients
+                       : from.each_endpoint ? kLeds
+                                            : kStandard,
+                       {from.pools.begin(), from.pools.end()},
+                       nullptr});
+  }
+  groups_.push_back({});
+  std::array<std::map<std::string, EndpointResources>, kEndpointFormatCount> all_resources;
+  std::map<std::string, std::vector<EndpointAssignment>> endpoints;
+  for (auto& [id, pool] : pools_) {
+    endpoints[id] = pool->decider.Endpoints();
+    pool->published.clear();
+    pool->zone_counts.clear();
+    for (const EndpointAssignment& endpoint : endpoints[id])
+      SetPublishedEndpoint(*pool, endpoint.id, &endpoint);
+    pool->is_published = pool->has_membership;
+  }
+  for (const Group& group : groups_) {
+    auto& of_format = all_resources[group.format];
+    if (!of_format.empty()) continue;
+    for (const auto& [id, pool] : pools_) {
+      of_format[id] = pool->has_membership
+                          ? BuildEndpointResources(id, endpoints[id], OptionsFor(group.format),
+                                                   endpoint_resources_[group.format][id])
+                          : MakePlaceholderEndpoints(id, OptionsFor(group.format));
+    }
+  }
+  endpoint_resources_ = std::move(all_resources);
+  std::set<std::string> ids;
+  for (const Group& group : groups_) ids.insert(group.id);
+  hub_.ReassignGroups(ids);
+  OutgoingMessages out;
+  for (std::size_t i = 0; i < groups_.size(); ++i) {
+    Group& group = groups_[i];
+    ResourceOptions options = OptionsFor(group.format);
+    options.pools = group.pools;
+    if (i < services_->control.groups.size()) {
+      const auto& listeners = services_->control.groups[i].listeners;
+      options.listeners = {listeners.begin(), listeners.end()};
+    }
+    auto all = BuildRoutingResources(*services_, options);
+    for (const auto& [id, resources] : endpoint_resources_[group.format]) {
+      if (!group.IncludesPool(id)) continue;
+      all[static_cast<std::size_t>(ResourceType::kEndpoint)][id] = resources.load_assignment;
+      all[static_cast<std::size_t>(ResourceType::kLbEndpoint)].insert(resources.lb_endpoints.begin(),
+                                                                      resources.lb_endpoints.end());
+    }
+    group.snapshot = std::make_shared<const Snapshot>(std::move(all));
+    Append(out, hub_.Publish(group.id, group.snapshot, /*urgent=*/true, now));
+  }
+  drain_requirements_.clear();
+  for (const auto& [id, pool] : pools_) {
+    std::set<std::string> hosts;
+    for (const auto& [host, endpoint] : pool->published) hosts.insert(host);
+    RecordDrainRequirements(id, *pool, hosts);
+  }
+  return out;
+}
+
+void ControlPlane::ApplyHostList(const std::string& id, Pool& pool, const gateway::HostList& list,
+                                 Millis now) {
+  gateway::HostList own = list;
+  for (gateway::Host& host : own.hosts) {
+    if (drained_.contains(host.server.id) && host.server.state == ServerState::kUp)
+      host.server.state = ServerState::kDraining;
+  }
+  pool.decider.UpdateMembership(own, now);
+  pool.has_membership = true;
+  WriteDecisionLog(id, pool);
+}
+
+void ControlPlane::WriteDecisionLog(const std::string& id, Pool& pool) {
+  for (const std::string& line : pool.decider.TakeLog()) log_("pool " + id + ": " + line);
+}
+
+void ControlPlane::ApplyUpdates(const std::vector<gateway::NodeRegistry::News>& news, Millis now) {
+  for (const gateway::NodeRegistry::News& item : news) {
+    for (auto& [id, pool] : pools_) {
+      if (pool->registry_id == item.pool) ApplyHostList(id, *pool, item.list, now);
+    }
+  }
+}
+
+ControlPlane::OutgoingMessages ControlPlane::UpdateMembership(const std::string& id,
+                                                              const gateway::HostList& list, Millis now) {
+  OutgoingMessages out;
+  const auto found = pools_.find(id);
+  if (found == pools_.end()) return out;
+  const auto news = nodes_.Told(found->second->registry_id, list, now);
+  ApplyUpdates(news, now);
+  for (auto& [name, pool] : pools_) {
+    const auto reached = std::find_if(news.begin(), news.end(),
+                                      [&](const auto& item) { return item.pool == pool->registry_id; });
+    if (reached == news.end()) continue;
+    if (reached->list.complete || !pool->is_published || HasMovedHost(*pool, reached->list)) {
+      Append(out, PublishChanges(name, *pool, now));
+      continue;
+    }
+    std::set<std::string> hosts;
+    for (const gateway::Host& host : reached->list.hosts) hosts.insert(host.server.id);
+    Append(out, PublishUnusable(name, *pool, hosts, now));
+  }
+  return out;
+}
+
+void ControlPlane::AddLoadReports(const ProxyNode& proxy, const std::vector<LoadReport>& reports,
+                                  Millis now) {
+  for (const LoadReport& report : reports) {
+    const auto found = pools_.find(report.pool);
+    if (found == pools_.end()) continue;
+    ++load_report_count_;
+    found->second->decider.AddLoadReport(proxy.id, report, now);
+  }
+}
+
+ControlPlane::OutgoingMessages ControlPlane::Tick(Millis now) {
+  OutgoingMessages out;
+  for (auto& [id, pool] : pools_) {
+    pool->decider.Tick(now);
+    WriteDecisionLog(id, *pool);
+    if (now < pool->next_comparison) continue;
+    pool->next_comparison =
+        now + std::max(kMinComparisonIntervalMs,
+                       kComparisonIntervalPerHostMs * static_cast<double>(pool->decider.size()));
+    Append(out, PublishChanges(id, *pool, now));
+  }
+  return out;
+}
+
+bool ControlPlane::HasMovedHost(const Pool& pool, const gateway::HostList& list) {
+  return std::any_of(list.hosts.begin(), list.hosts.end(), [&](const gateway::Host& host) {
+    const auto published = pool.published.find(host.server.id);
+    return published != pool.published.end() &&
+           (published->second.port != host.address.port() ||
+            published->second.address != host.address.address().to_string());
+  });
+}
+
+void ControlPlane::SetPublishedEndpoint(Pool& pool, const std::string& host, const EndpointAssignment* to) {
+  const auto found = pool.published.find(host);
+  if (found != pool.published.end()) {
+    const auto zone = pool.zone_counts.find(found->second.zone);
+    if (--zone->second == 0) pool.zone_counts.erase(zone);
+    if (to == nullptr) pool.published.erase(found);
+  }
+  if (to == nullptr) return;
+  pool.published[host] = *to;
+  ++pool.zone_counts[to->zone];
+}
+
+ControlPlane::OutgoingMessages ControlPlane::PublishChanges(const std::string& id, Pool& pool, Millis now) {
+  if (!pool.has_membership) return {};  // an empty list would have proxies let go of what they have
+  std::map<std::string, EndpointAssignment> was;
+  std::set<std::string> changed, there;
+  bool urgent = !std::exchange(pool.is_published, true);  // proxies have waited for it
+  for (const EndpointAssignment& endpoint : pool.decider.Endpoints()) {
+    there.insert(endpoint.id);
+    const auto found = pool.published.find(endpoint.id);
+    if (found != pool.published.end()) {
+      const EndpointAssignment& before = found->second;
+      if (!Differs(before, endpoint, services_->control.threshold)) continue;
+      urgent = urgent || before.address != endpoint.address || before.port != endpoint.port ||
+               (before.health != EndpointHealth::kDraining && endpoint.health == EndpointHealth::kDraining);
+      was[endpoint.id] = before;
+    }
+    changed.insert(endpoint.id);
+    SetPublishedEndpoint(pool, endpoint.id, &endpoint);
+  }
+  std::vector<std::string> gone;
+  for (const auto& [host, endpoint] : pool.published) {
+    if (!there.contains(host)) gone.push_back(host);
+  }
+  for (const std::string& host : gone) {
+    was[host] = pool.published.at(host);
+    changed.insert(host);
+    SetPublishedEndpoint(pool, host, nullptr);
+  }
+  urgent = urgent || !gone.empty();
+  if (changed.empty() && !urgent) return {};
+  return PublishEndpoints(id, pool, was, changed, urgent, now);
+}
+
+ControlPlane::OutgoingMessages ControlPlane::PublishUnusable(const std::string& id, Pool& pool,
+                                                             const std::set<std::string>& hosts, Millis now) {
+  std::map<std::string, EndpointAssignment> was;
+  std::set<std::string> changed;
+  for (const std::string& host : hosts) {
+    const auto found = pool.published.find(host);
+    const auto state = pool.decider.FindState(host);
+    if (found == pool.published.end() || state == ServerState::kUp) continue;
+    EndpointAssignment next = found->second;
+    if (state && next.health == EndpointHealth::kDraining) continue;
+    was[host] = found->second;
+    changed.insert(host);
+    next.health = EndpointHealth::kDraining;
+    next.weight = 1;
+    SetPublishedEndpoint(pool, host, state ? &next : nullptr);
+  }
+  pool.next_comparison =
+      std::min(pool.next_comparison, now + kMinComparisonIntervalMs);  // what else there is, soon
+  if (changed.empty()) return {};
+  return PublishEndpoints(id, pool, was, changed, /*urgent=*/true, now);
+}
+
+ControlPlane::OutgoingMessages ControlPlane::PublishEndpoints(
+    const std::string& id, Pool& pool, const std::map<std::string, EndpointAssignment>& was,
+    const std::set<std::string>& changed, bool urgent, Millis now) {
+  std::array<Snapshot::Changes, kEndpointFormatCount> changes;
+  for (std::size_t format = 0; format < kEndpointFormatCount; ++format) {
+    if (endpoint_resources_[format].empty()) continue;
+    const ResourceOptions options = OptionsFor(static_cast<EndpointFormat>(format));
+    EndpointResources& resources = endpoint_resources_[format][id];
+    const ResourcePtr list = resources.load_assignment;
+    auto& members = changes[format][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
+    if (format == kLeds) {
+      if (list->is_placeholder) {  // what stood for all that was not known yet
+        for (const auto& [name, placeholder] : resources.lb_endpoints) members[name] = nullptr;
+        resources.lb_endpoints.clear();
+      }
+      std::set<std::string> zones;
+      for (const auto& [zone, count] : pool.zone_counts) zones.insert(zone);
+      resources.load_assignment = BuildLedsAssignment(id, zones, options, list);
+      for (const std::string& host : changed) {
+        const auto before = was.find(host);
+        const auto after = pool.published.find(host);
+        const std::string old_name = before == was.end() ? "" : LbEndpointName(id, before->second);
+        const std::string name = after == pool.published.end() ? "" : LbEndpointName(id, after->second);
+        if (!old_name.empty() && old_name != name) {
+          members[old_name] = nullptr;
+          resources.lb_endpoints.erase(old_name);
+        }
+        if (name.empty()) continue;
+        ResourcePtr& member = resources.lb_endpoints[name];
+        const ResourcePtr made = BuildLbEndpoint(id, after->second, member);
+        if (made != member) members[name] = member = made;
+      }
+    } else {
+      std::vector<EndpointAssignment> endpoints;
+      for (const auto& [host, endpoint] : pool.published) endpoints.push_back(endpoint);
+      resources = BuildEndpointResources(id, endpoints, options, resources);
+    }
+    if (resources.load_assignment != list)
+      changes[format][static_cast<std::size_t>(ResourceType::kEndpoint)][id] = resources.load_assignment;
+  }
+  OutgoingMessages out;
+  for (Group& group : groups_) {
+    if (!group.IncludesPool(id)) continue;
+    group.snapshot = group.snapshot->WithChanges(changes[group.format]);
+    Append(out, hub_.Publish(group.id, group.snapshot, urgent, now));
+  }
+  RecordDrainRequirements(id, pool, changed);
+  return out;
+}
+
+void ControlPlane::RecordDrainRequirements(const std::string& id, const Pool& pool,
+                                           const std::set<std::string>& hosts) {
+  auto& since = drain_requirements_[id];
+  for (const std::string& host : hosts) {
+    const auto found = pool.published.find(host);
+    if (found == pool.published.end())
+      continue;  // gone: the lists without it count, those since its drain as well
+    const EndpointAssignment& endpoint = found->second;
+    if (endpoint.health != EndpointHealth::kDraining) {
+      since.erase(host);
+      continue;
+    }
+    auto& needs = since[host];
+    if (!needs.empty()) continue;  // it drains since an earlier list
+    for (const Group& group : groups_) {
+      if (!group.IncludesPool(id)) continue;
+      const EndpointResources& resources = endpoint_resources_[group.format].at(id);
+      if (group.format != kLeds) {
+        needs.push_back({group.id, ResourceType::kEndpoint, id, resources.load_assignment->serial});
+        continue;
+      }
+      // The list leads to members, and does not change with them.
+      const std::string name = LbEndpointName(id, endpoint);
+      const auto member = resources.lb_endpoints.find(name);
+      if (member != resources.lb_endpoints.end())
+        needs.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
+    }
+  }
+  if (since.size() <= pool.published.size() + kMaxDepartedNodes) return;
+  // Few nodes that left while they drained are remembered.
+  std::erase_if(since, [&](const auto& entry) { return !pool.published.contains(entry.first); });
+}
+
+ControlPlane::OutgoingMessages ControlPlane::ApplyDrainChange(const std::string& node, Millis now) {
+  OutgoingMessages out;
+  for (auto& [id, pool] : pools_) {
+    const auto host = nodes_.HostOf(pool->registry_id, node);
+    if (!host) continue;
+    ApplyHostList(id, *pool, {0, false, {*host}}, now);
+    Append(out, PublishUnusable(id, *pool, {node}, now));
+  }
+  return out;
+}
+
+ControlPlane::OutgoingMessages ControlPlane::Drain(const std::string& node, Millis now) {
+  drained_.insert(node);
+  return ApplyDrainChange(node, now);
+}
+
+ControlPlane::OutgoingMessages ControlPlane::Undrain(const std::string& node, Millis now) {
+  if (drained_.erase(node) == 0) return {};
+  return ApplyDrainChange(node, now);
+}
+
+bool ControlPlane::HasNode(const std::string& node) const { return !nodes_.PoolsOf(node).empty(); }
+
+std::vector<StreamHub::PendingProxy> ControlPlane::PendingProxies(const std::string& node, Millis now) const {
+  std::map<std::string, Millis> all;
+  for (const auto& [pool, nodes] : drain_requirements_) {
+    const auto needs = nodes.find(node);
+    if (needs == nodes.end()) continue;
+    for (const StreamHub::PendingProxy& waiting : hub_.PendingProxies(pool, needs->second, now)) {
+      Millis& until = all[waiting.proxy];
+      until = std::max(until, waiting.lease_expiry);
+    }
+  }
+  std::vector<StreamHub::PendingProxy> list;
+  for (const auto& [proxy, until] : all) list.push_back({proxy, until});
+  return list;
+}
+
+std::vector<ControlPlane::PoolStatus> ControlPlane::Status(Millis now) const {
+  std::vector<PoolStatus> all;
+  for (const config::Pool& pool : services_->pools) {
+    all.push_back({pool.id, pool.strict, pools_.at(pool.id)->decider.Status(now)});
+  }
+  return all;
+}
+
+}  // namespace opalswitch::xds
--- a/src/xds/operators.cpp
+++ b/src/xds/operators.cpp
@@ -44,7 +44,7 @@
 
 class Operators::Impl : public api::Operators::Service {
  public:
-  Impl(const std::string& socket, Server& server, const std::unique_ptr<Control>& control,
+  Impl(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
        std::function<void(const std::set<std::string>&)> drains)
       : path_(socket), server_(server), control_(control), drains_(std::move(drains)) {
     grpc::ServerBuilder builder;
@@ -85,10 +85,10 @@
         to->set_nacks(proxy.nacks);
         if (proxy.last_rejection) to->set_last_rejection(TextOf(*proxy.last_rejection));
       }
-      if (!control_) return Control::Outs();
-      reply->set_load_reports(control_->reports());
-      for (const std::string& node : control_->drained()) reply->add_drained(node);
-      for (const Control::PoolStatus& pool : control_->Status(now)) {
+      if (!control_) return ControlPlane::OutgoingMessages();
+      reply->set_load_reports(control_->load_report_count());
+      for (const std::string& node : control_->drained_nodes()) reply->add_drained(node);
+      for (const ControlPlane::PoolStatus& pool : control_->Status(now)) {
         auto* const to = reply->add_pools();
         to->set_id(pool.id);
         to->set_strict(pool.strict);
@@ -103,7 +103,7 @@
           one->set_reporters(static_cast<std::uint32_t>(host.reporter_count));
         }
       }
-      return Control::Outs();
+      return ControlPlane::OutgoingMessages();
     });
     return grpc::Status::OK;
   }
@@ -123,10 +123,10 @@
                        api::UndrainReply*) override {
     bool known = false;
     server_.With([&](StreamHub&, Millis now) {
-      known = control_ && control_->drained().contains(request->node());
-      if (!known) return Control::Outs();
+      known = control_ && control_->drained_nodes().contains(request->node());
+      if (!known) return ControlPlane::OutgoingMessages();
       auto out = control_->Undrain(request->node(), now);
-      drains_(control_->drained());
+      drains_(control_->drained_nodes());
       return out;
     });
     if (known) return grpc::Status::OK;
@@ -140,10 +140,10 @@
     Millis begun = 0;
     server_.With([&](StreamHub&, Millis now) {
       begun = now;
-      known = control_ && control_->Knows(request.node());
-      if (!known) return Control::Outs();
+      known = control_ && control_->HasNode(request.node());
+      if (!known) return ControlPlane::OutgoingMessages();
       auto out = control_->Drain(request.node(), now);
-      drains_(control_->drained());
+      drains_(control_->drained_nodes());
       return out;
     });
     if (!known) return {grpc::StatusCode::NOT_FOUND, "no pool has a host '" + request.node() + "'"};
@@ -157,7 +157,7 @@
           to->set_proxy(waiting.proxy);
           to->set_lease_ms(std::isfinite(waiting.lease_expiry) ? waiting.lease_expiry - now : -1);
         }
-        return Control::Outs();
+        return ControlPlane::OutgoingMessages();
       });
       std::set<std::string> names;
       for (const auto& waiting : reply.waiting()) names.insert(waiting.proxy());
@@ -174,14 +174,14 @@
 
   const std::string path_;
   Server& server_;
-  const std::unique_ptr<Control>& control_;
+  const std::unique_ptr<ControlPlane>& control_;
   const std::function<void(const std::set<std::string>&)> drains_;
   std::atomic<int> calls_{0};
   std::atomic<bool> ending_{false};
   std::unique_ptr<grpc::Server> grpc_;
 };
 
-Operators::Operators(const std::string& socket, Server& server, const std::unique_ptr<Control>& control,
+Operators::Operators(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
                      std::function<void(const std::set<std::string>&)> drains)
     : impl_(std::make_unique<Impl>(socket, server, control, std::move(drains))) {}
 Operators::~Operators() = default;
--- a/src/xds/operators.hpp
+++ b/src/xds/operators.hpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "xds/control.hpp"
+#include "xds/control_plane.hpp"
 #include "xds/server.hpp"
 
 namespace opalswitch::xds {
@@ -17,7 +17,7 @@
  public:
   // `control` is used on the server's deciding thread alone, and may be null until it is made. `drains` is
   // told, on that thread, what is drained from now on. Throws std::runtime_error if the socket can't be made.
-  Operators(const std::string& socket, Server& server, const std::unique_ptr<Control>& control,
+  Operators(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
             std::function<void(const std::set<std::string>&)> drains);
   ~Operators();
 
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -6,12 +6,12 @@
 
 #include "envoy/config/endpoint/v3/endpoint.pb.h"
 #include "services_text.hpp"
-#include "xds/control.hpp"
+#include "xds/control_plane.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-using xds::Control;
+using xds::ControlPlane;
 using xds::ResourceType;
 using xds::Session;
 using xds::StreamHub;
@@ -132,7 +132,7 @@
   Millis now = 1e6;
   std::vector<std::string> log;
   StreamHub hub{xds::StreamHubOptions()};
-  Control control;
+  ControlPlane control;
   std::map<StreamHub::StreamId, xds::ProxyNode> nodes;
   std::map<StreamHub::StreamId, bool> mute;
   std::map<StreamHub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> holds;
@@ -154,31 +154,33 @@
     EXPECT_TRUE(out.response.removed.empty());
   }
   world.nodes[1] = {"p", "", ""};
-  world.Deliver(world.control.Told("two", {0, true, {Node("b", 2)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("two", {0, true, {Node("b", 2)}}, world.now));
   EXPECT_EQ(world.Usable(1, "two").size(), 1u);
   EXPECT_FALSE(world.holds[1][ResourceType::kEndpoint].contains("one"));
-  world.Deliver(world.control.Told("one", {0, true, {Node("a", 1)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 1)}}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 1u);
 }
 
 TEST(XdsControl, DrainsOfMembershipAndOperatorsReachAllPoolsAtOnce) {
   World world;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.Told(pool, {0, true, {Node("a", 1), Node("b", 2), Node("c", 3)}}, world.now));
+    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2), Node("c", 3)}},
+                                                 world.now));
   world.Connect(1, {"p", "", ""});
   EXPECT_EQ(world.Usable(1, "one").size(), 3u);
-  world.Deliver(world.control.Told("one", {0, false, {Node("a", 1, ServerState::kDraining)}}, world.now));
+  world.Deliver(
+      world.control.UpdateMembership("one", {0, false, {Node("a", 1, ServerState::kDraining)}}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 2u);
   EXPECT_EQ(world.Usable(1, "two").size(), 2u);  // one node, whatever pool told
-  EXPECT_TRUE(world.control.Knows("b"));
-  EXPECT_FALSE(world.control.Knows("nobody"));
+  EXPECT_TRUE(world.control.HasNode("b"));
+  EXPECT_FALSE(world.control.HasNode("nobody"));
   world.Deliver(world.control.Drain("b", world.now));
   EXPECT_EQ(world.Usable(1, "one"), (std::map<std::string, std::uint32_t>{{"10.0.0.3", 100}}));
   EXPECT_EQ(world.Usable(1, "two").size(), 1u);
   // Membership that goes on listing it as up does not end an operator's drain; nor does a restart of the
   // node.
-  world.Deliver(
-      world.control.Told("one", {0, true, {Node("b", 2, ServerState::kUp, 5), Node("c", 3)}}, world.now));
+  world.Deliver(world.control.UpdateMembership(
+      "one", {0, true, {Node("b", 2, ServerState::kUp, 5), Node("c", 3)}}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 1u);
   world.Deliver(world.control.Undrain("b", world.now));
   world.Run(300);  // nothing that is urgent
@@ -188,7 +190,7 @@
 TEST(XdsControl, ADrainNamesWhomItWaitsFor) {
   World world;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.Told(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
+    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
   world.Connect(1, {"good", "", ""});
   world.Connect(2, {"mute", "", ""}, false);
   world.Connect(3, {"gone", "", ""});
@@ -206,7 +208,7 @@
   for (const auto& w : world.control.PendingProxies("a", world.now)) waiting[w.proxy] = w.lease_expiry;
   EXPECT_EQ(waiting.size(), 1u);
   // A later change does not make proxies that know of the drain seem behind.
-  world.Deliver(world.control.Told("one", {0, false, {Node("c", 3)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, false, {Node("c", 3)}}, world.now));
   world.mute[1] = true;
   world.Run(300);
   for (const auto& w : world.control.PendingProxies("a", world.now)) EXPECT_EQ(w.proxy, "mute");
@@ -214,20 +216,20 @@
 
 TEST(XdsControl, ANodeThatDrainsAndComesBackAtItsAddressUnderANewIdIsUsed) {
   World world;
-  world.Deliver(world.control.Told("one", {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
   world.Connect(1, {"p", "", ""});
   world.Deliver(world.control.Drain("a", world.now));
   EXPECT_EQ(world.Usable(1, "one").count("10.0.0.1"), 0u);
-  world.Deliver(world.control.Told("one", {0, true, {Node("b", 2)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("b", 2)}}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 1u);
   world.Run(1000);
-  world.Deliver(world.control.Told(
+  world.Deliver(world.control.UpdateMembership(
       "one", {0, true, {Node("a2", 1, ServerState::kUp, world.now), Node("b", 2)}}, world.now));
   world.Run(300);
   EXPECT_EQ(world.Usable(1, "one").count("10.0.0.1"), 1u);
   EXPECT_TRUE(world.control.PendingProxies("a", world.now).empty());
   // The same id again is the drained one still.
-  world.Deliver(world.control.Told("one", {0, true, {Node("a", 4), Node("b", 2)}}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 4), Node("b", 2)}}, world.now));
   world.Run(300);
   EXPECT_EQ(world.Usable(1, "one").count("10.0.0.4"), 0u);
 }
@@ -236,16 +238,16 @@
   World world;
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 20; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
-  world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
   world.Connect(1, {"p", "", ""});
   const auto before = world.hub.statistics().pushes;
   hosts[0].server.weight = 1.05;
-  world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
   world.Run(1000);
   EXPECT_EQ(world.hub.statistics().pushes, before);
   for (int i = 0; i < 15; ++i) {  // within one wait of 200 ms
     hosts[static_cast<std::size_t>(i)].server.weight = 2;
-    world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
+    world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
     world.Run(10);
   }
   world.Run(300);
@@ -261,7 +263,7 @@
 TEST(XdsControl, GroupsSeeTheirPoolsAndRoutesThatLeadElsewhereAreTakenByNobody) {
   World world(kGroups);
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.Told(pool, {0, true, {Node("a", 1)}}, world.now));
+    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1)}}, world.now));
   world.Connect(1, {"edge-7", "", ""});
   world.Connect(2, {"other", "", ""});
   EXPECT_EQ(world.holds[1][ResourceType::kCluster].size(), 1u);
@@ -277,7 +279,7 @@
   World world(kGroups);
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 200; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
-  world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
   world.Connect(1, {"p", "", "z9"});
   EXPECT_EQ(world.Usable(1, "one").size(), 200u);
   const int told = world.told[1];
@@ -286,7 +288,7 @@
   EXPECT_EQ(world.told[1], told + 1);
   EXPECT_TRUE(world.control.PendingProxies("h7", world.now).empty());
   hosts.erase(hosts.begin() + 10);
-  world.Deliver(world.control.Told("one", {0, true, hosts}, world.now));
+  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
   EXPECT_EQ(world.Usable(1, "one").size(), 198u);
   EXPECT_EQ(world.told[1], told + 1);  // a removal, no resource
   world.mute[1] = true;
@@ -302,7 +304,7 @@
 TEST(XdsControl, AReloadKeepsWhatPoolsHaveLearnedAndDrainsHold) {
   World world;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.Told(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
+    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
   world.Connect(1, {"p", "", ""});
   world.Deliver(world.control.Drain("a", world.now));
   const int told = world.told[1];
