--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -12,7 +12,7 @@
 
 #include "standins/xds_client.hpp"
 #include "xds/control_plane.hpp"
-#include "xds/server.hpp"
+#include "xds/control_server.hpp"
 
 namespace opalswitch::testing {
 namespace {
@@ -43,16 +43,16 @@
   const auto parsed = config::ParseServices(text, "bench", "");
   if (!parsed.services) std::abort();
   std::unique_ptr<ControlPlane> control;
-  xds::ServerOptions options;
-  options.tick = [&](xds::StreamHub&, Millis now) {
+  xds::ControlServerOptions options;
+  options.on_tick = [&](xds::StreamHub&, Millis now) {
     return control ? control->Tick(now) : ControlPlane::OutgoingMessages();
   };
-  xds::Server server(std::move(options));
-  server.With([&](xds::StreamHub& hub, Millis now) {
+  xds::ControlServer server(std::move(options));
+  server.RunOnDecisionThread([&](xds::StreamHub& hub, Millis now) {
     control = std::make_unique<ControlPlane>(hub, 1, [](const std::string&) {});
     return control->Configure(parsed.services, now);
   });
-  server.With([&](xds::StreamHub&, Millis now) {
+  server.RunOnDecisionThread([&](xds::StreamHub&, Millis now) {
     return control->UpdateMembership("p", {0, true, parsed.services->pools[0].membership.hosts}, now);
   });
   std::vector<std::unique_ptr<XdsClient>> proxies;
@@ -98,7 +98,7 @@
           std::none_of(open.begin(), open.end(), [&](const Drain& d) { return d.node == node; });
       if (free) {
         const auto at = Clock::now();  // told; all that the service needs from here on counts
-        server.With(
+        server.RunOnDecisionThread(
             [&](xds::StreamHub&, Millis now) { return control->Drain("n" + std::to_string(node), now); });
         open.push_back({node, at});
         ++done;
@@ -126,7 +126,7 @@
         late += ms >= 500;
         worst = std::max(worst, ms);
       }
-      server.With([&](xds::StreamHub&, Millis now) {
+      server.RunOnDecisionThread([&](xds::StreamHub&, Millis now) {
         return control->Undrain("n" + std::to_string(drain->node), now);
       });
       drain = open.erase(drain);
@@ -146,7 +146,7 @@
       Ms(Clock::now() - begun) / 1000);
   std::fflush(stdout);
   for (const auto& proxy : proxies) proxy->Drop();
-  server.With([&](xds::StreamHub&, Millis) { return ControlPlane::OutgoingMessages(); });
+  server.RunOnDecisionThread([&](xds::StreamHub&, Millis) { return ControlPlane::OutgoingMessages(); });
   return late == 0 ? 0 : 1;
 }
 
--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -14,7 +14,7 @@
 #include "config/services.hpp"
 #include "envoy/service/discovery/v3/discovery.pb.h"
 #include "xds/control_plane.hpp"
-#include "xds/wire.hpp"
+#include "xds/proto_conversion.hpp"
 
 namespace opalswitch {
 namespace {
@@ -104,7 +104,7 @@
   template <typename Message>
   void Serialise(const StreamHub::OutgoingMessage& out) {
     Message message;
-    xds::Fill(message, out, 400, "bench");
+    xds::FillResponse(message, out, 400, "bench");
     std::string text;
     message.SerializeToString(&text);
     bytes += static_cast<double>(text.size());
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -16,9 +16,9 @@
 #include "config/services.hpp"
 #include "membership/source.hpp"
 #include "xds/control_plane.hpp"
+#include "xds/control_server.hpp"
 #include "xds/drain_file.hpp"
-#include "xds/operators.hpp"
-#include "xds/server.hpp"
+#include "xds/operator_server.hpp"
 #include "xds/tls.hpp"
 
 namespace {
@@ -36,8 +36,8 @@
 
 void Say(const std::string& text) { std::fprintf(stderr, "forkwick-control: %s\n", text.c_str()); }
 
-xds::ServerOptions OptionsOf(const config::Control& control) {
-  xds::ServerOptions options;
+xds::ControlServerOptions OptionsOf(const config::Control& control) {
+  xds::ControlServerOptions options;
   options.address = control.address;
   if (control.tls) {
     options.credentials = xds::MakeCredentials(*control.tls);
@@ -48,8 +48,8 @@
   options.hub.coalescing_delay = control.coalesce;
   options.hub.lease_duration = control.lease;
   options.hub.heartbeat_interval = control.heartbeat;
-  options.begun = gw::Now();
-  options.report_every = control.report_every;
+  options.started_at = gw::Now();
+  options.load_report_interval = control.report_every;
   return options;
 }
 
@@ -59,21 +59,21 @@
   Running(asio::io_context& io, std::shared_ptr<const config::Services> services)
       : io_(io), drains_(services->control.drains) {
     auto options = OptionsOf(services->control);
-    options.tick = [this](xds::StreamHub&, Millis now) {
+    options.on_tick = [this](xds::StreamHub&, Millis now) {
       return control_ ? control_->Tick(now) : xds::ControlPlane::OutgoingMessages();
     };
-    options.report = [this](const xds::ProxyNode& proxy, const std::vector<xds::LoadReport>& reports,
-                            Millis now) {
+    options.on_load_report = [this](const xds::ProxyNode& proxy, const std::vector<xds::LoadReport>& reports,
+                                    Millis now) {
       if (control_) control_->AddLoadReports(proxy, reports, now);
     };
     const auto drained = drains_.Read();  // before anybody is told anything
-    server_ = std::make_unique<xds::Server>(std::move(options));
-    server_->With([&](xds::StreamHub& hub, Millis now) {
+    server_ = std::make_unique<xds::ControlServer>(std::move(options));
+    server_->RunOnDecisionThread([&](xds::StreamHub& hub, Millis now) {
       control_ = std::make_unique<xds::ControlPlane>(hub, RandomSeed(), Say);
       control_->RestoreDrains(drained);
       return control_->Configure(services, now);
     });
-    operators_ = std::make_unique<xds::Operators>(
+    operators_ = std::make_unique<xds::OperatorServer>(
         services->control.socket, *server_, control_,
         [this](const std::set<std::string>& nodes) { drains_.Write(nodes); });
     Follow(*services);
@@ -89,7 +89,8 @@
         old.proxies != now_wanted.proxies || old.drains != now_wanted.drains) {
       Say("control.address, socket, drains, proxies, lease and heartbeat count from the next start");
     }
-    server_->With([&](xds::StreamHub&, Millis now) { return control_->Configure(services, now); });
+    server_->RunOnDecisionThread(
+        [&](xds::StreamHub&, Millis now) { return control_->Configure(services, now); });
     Follow(*services);
     services_ = std::move(services);
   }
@@ -108,7 +109,7 @@
       }
       gw::Source::Handlers handlers{
           [this, id = pool.id](const gw::HostList& list) {
-            server_->With(
+            server_->RunOnDecisionThread(
                 [&](xds::StreamHub&, Millis now) { return control_->UpdateMembership(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
@@ -130,8 +131,8 @@
   xds::DrainFile drains_;
   std::shared_ptr<const config::Services> services_;
   std::unique_ptr<xds::ControlPlane> control_;  // of the deciding thread; ends after it
-  std::unique_ptr<xds::Server> server_;
-  std::unique_ptr<xds::Operators> operators_;
+  std::unique_ptr<xds::ControlServer> server_;
+  std::unique_ptr<xds::OperatorServer> operators_;
   std::map<std::string, Followed> sources_;
 };
 
--- a/src/xds/server.cpp
+++ b/src/xds/control_server.cpp
@@ -1,4 +1,4 @@
-#include "xds/server.hpp"
+#include "xds/control_server.hpp"
 
 #include <grpcpp/grpcpp.h>
 
@@ -15,18 +15,18 @@
 #include "envoy/service/discovery/v3/ads.grpc.pb.h"
 #include "xds/decision_loop.hpp"
 #include "xds/load_service.hpp"
+#include "xds/proto_conversion.hpp"
 #include "xds/tls.hpp"
-#include "xds/wire.hpp"
 
 namespace opalswitch::xds {
 namespace {
 
 namespace discovery = envoy::service::discovery::v3;
-constexpr int kMostMessage = 4 << 20;  // bytes of a proxy's request
+constexpr int kMaxRequestBytes = 4 << 20;  // bytes of a proxy's request
 
 }  // namespace
 
-class Server::Impl {
+class ControlServer::Impl {
  public:
   // One stream, whatever its variant, as the deciding thread sees it.
   class Stream {
@@ -34,17 +34,17 @@
     virtual ~Stream() = default;
     virtual void Send(const StreamHub::OutgoingMessage& out) = 0;
     virtual void ReadNext() = 0;
-    virtual void End(grpc::Status status) = 0;
+    virtual void Close(grpc::Status status) = 0;
   };
 
-  explicit Impl(ServerOptions options)
+  explicit Impl(ControlServerOptions options)
       : options_(std::move(options)),
-        hub_(options_.hub, options_.begun),
+        hub_(options_.hub, options_.started_at),
         service_(*this),
-        loads_(loop_,
-               {options_.report_every, options_.reports_per_s, options_.client_names, options_.report}),
+        load_service_(loop_, {options_.load_report_interval, options_.max_load_reports_per_second,
+                              options_.client_names, options_.on_load_report}),
         loop_([this](Millis now) {
-          if (options_.tick) Send(options_.tick(hub_, now));
+          if (options_.on_tick) Send(options_.on_tick(hub_, now));
           Send(hub_.Tick(now));
         }) {
     auto credentials = options_.credentials;
@@ -57,10 +57,10 @@
     }
     grpc::ServerBuilder builder;
     builder.AddListeningPort(options_.address, credentials, &port_);
-    builder.SetMaxReceiveMessageSize(kMostMessage);
+    builder.SetMaxReceiveMessageSize(kMaxRequestBytes);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.RegisterService(&service_);
-    builder.RegisterService(&loads_);
+    builder.RegisterService(&load_service_);
     server_ = builder.BuildAndStart();
     if (!server_ || port_ == 0) throw std::runtime_error(options_.address + ": can't listen");
   }
@@ -69,8 +69,9 @@
 
   int port() const { return port_; }
 
-  void With(const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
-    loop_.Do([&](Millis now) { Send(work(hub_, now)); });
+  void RunOnDecisionThread(
+      const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
+    loop_.RunAndWait([&](Millis now) { Send(work(hub_, now)); });
   }
 
  private:
@@ -78,12 +79,13 @@
   template <typename In, typename Reply, Session::Variant variant>
   class Reactor : public grpc::ServerBidiReactor<In, Reply>, public Stream {
    public:
-    Reactor(Impl& owner, const grpc::CallbackServerContext& context) : owner_(owner), id_(++owner.ids_) {
-      owner_.loop_.Post([this, allowed = NameAllowed(context, owner.options_.client_names)](Millis now) {
+    Reactor(Impl& owner, const grpc::CallbackServerContext& context)
+        : owner_(owner), id_(++owner.last_stream_id_) {
+      owner_.loop_.Post([this, allowed = IsCallerAllowed(context, owner.options_.client_names)](Millis now) {
         if (!allowed)
-          return End({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
+          return Close({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
         if (!owner_.hub_.OpenStream(id_, variant, now))
-          return End({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many proxies"});
+          return Close({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many proxies"});
         owner_.streams_[id_] = this;
         ReadNext();
       });
@@ -91,11 +93,11 @@
 
     void ReadNext() override {
       const std::lock_guard lock(mutex_);
-      if (!ended_) this->StartRead(&in_);
+      if (!is_closed_) this->StartRead(&in_);
     }
 
-    void OnReadDone(bool good) override {
-      if (!good) return owner_.loop_.Post([this](Millis) { End(grpc::Status::OK); });
+    void OnReadDone(bool ok) override {
+      if (!ok) return owner_.loop_.Post([this](Millis) { Close(grpc::Status::OK); });
       owner_.loop_.Post([this](Millis now) {
         const auto request = ToRequest(in_);
         // Types that this service has not are asked for in vain, and hold nothing else up.
@@ -108,34 +110,34 @@
       auto reply = std::make_unique<Reply>();
       reply->set_type_url(std::string(TypeUrl(out.response.type)));
       reply->set_nonce(out.response.nonce);
-      Fill(*reply, out, owner_.options_.hub.lease_duration, owner_.options_.identifier);
+      FillResponse(*reply, out, owner_.options_.hub.lease_duration, owner_.options_.identifier);
       const std::size_t bytes = reply->ByteSizeLong();
       std::unique_lock lock(mutex_);
-      if (ended_) return;
-      if (replies_.size() >= owner_.options_.queued_messages ||
-          bytes_ + bytes > owner_.options_.queued_bytes) {
+      if (is_closed_) return;
+      if (replies_.size() >= owner_.options_.max_queued_messages ||
+          queued_bytes_ + bytes > owner_.options_.max_queued_bytes) {
         lock.unlock();
-        return End({grpc::StatusCode::RESOURCE_EXHAUSTED, "reads too slowly"});
+        return Close({grpc::StatusCode::RESOURCE_EXHAUSTED, "reads too slowly"});
       }
-      bytes_ += bytes;
+      queued_bytes_ += bytes;
       replies_.push_back(std::move(reply));
       if (replies_.size() == 1) this->StartWrite(replies_.front().get());
     }
 
-    void OnWriteDone(bool good) override {
+    void OnWriteDone(bool ok) override {
       const std::lock_guard lock(mutex_);
-      bytes_ -= std::min<std::size_t>(bytes_, replies_.front()->ByteSizeLong());
+      queued_bytes_ -= std::min<std::size_t>(queued_bytes_, replies_.front()->ByteSizeLong());
       replies_.pop_front();
-      if (good && !ended_ && !replies_.empty()) this->StartWrite(replies_.front().get());
+      if (ok && !is_closed_ && !replies_.empty()) this->StartWrite(replies_.front().get());
     }
 
-    void End(grpc::Status status) override {
+    void Close(grpc::Status status) override {
       const std::lock_guard lock(mutex_);
-      if (!std::exchange(ended_, true)) this->Finish(std::move(status));
+      if (!std::exchange(is_closed_, true)) this->Finish(std::move(status));
     }
 
     void OnCancel() override {
-      owner_.loop_.Post([this](Millis) { End(grpc::Status::CANCELLED); });
+      owner_.loop_.Post([this](Millis) { Close(grpc::Status::CANCELLED); });
     }
 
     void OnDone() override {
@@ -152,8 +154,8 @@
     In in_;
     std::mutex mutex_;
     std::deque<std::unique_ptr<Reply>> replies_;  // the first is being written
-    std::size_t bytes_ = 0;
-    bool ended_ = false;
+    std::size_t queued_bytes_ = 0;
+    bool is_closed_ = false;
   };
 
   class Service : public discovery::AggregatedDiscoveryService::CallbackService {
@@ -179,29 +181,31 @@
       const auto found = streams_.find(out.stream);
       if (found == streams_.end()) continue;
       if (out.close_reason) {
-        found->second->End({grpc::StatusCode::RESOURCE_EXHAUSTED, *out.close_reason});
+        found->second->Close({grpc::StatusCode::RESOURCE_EXHAUSTED, *out.close_reason});
       } else {
         found->second->Send(out);
       }
     }
   }
 
-  const ServerOptions options_;
+  const ControlServerOptions options_;
   StreamHub hub_;  // of the loop's thread, as the streams
   std::map<StreamHub::StreamId, Stream*> streams_;
-  std::atomic<StreamHub::StreamId> ids_{0};
+  std::atomic<StreamHub::StreamId> last_stream_id_{0};
   int port_ = 0;
   Service service_;
-  LoadService loads_;
+  LoadService load_service_;
   DecisionLoop loop_;  // ends before them: what is queued may use them
   std::unique_ptr<grpc::Server> server_;
 };
 
-Server::Server(ServerOptions options) : impl_(std::make_unique<Impl>(std::move(options))) {}
-Server::~Server() = default;
-int Server::port() const { return impl_->port(); }
-void Server::With(const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
-  impl_->With(work);
+ControlServer::ControlServer(ControlServerOptions options)
+    : impl_(std::make_unique<Impl>(std::move(options))) {}
+ControlServer::~ControlServer() = default;
+int ControlServer::port() const { return impl_->port(); }
+void ControlServer::RunOnDecisionThread(
+    const std::function<std::vector<StreamHub::OutgoingMessage>(StreamHub&, Millis)>& work) {
+  impl_->RunOnDecisionThread(work);
 }
 
 }  // namespace opalswitch::xds
--- a/src/xds/decision_loop.cpp
+++ b/src/xds/decision_loop.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr auto kTick = std::chrono::milliseconds(10);
+constexpr auto kTickInterval = std::chrono::milliseconds(10);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 DecisionLoop::~DecisionLoop() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    is_stopping_ = true;
   }
   wake_.notify_one();
   thread_.join();
@@ -33,7 +33,7 @@
   wake_.notify_one();
 }
 
-void DecisionLoop::Do(const std::function<void(Millis)>& work) {
+void DecisionLoop::RunAndWait(const std::function<void(Millis)>& work) {
   std::mutex mutex;
   std::condition_variable done;
   bool finished = false;
@@ -48,18 +48,18 @@
 }
 
 void DecisionLoop::Run() {
-  auto next = Clock::now() + kTick;
+  auto next = Clock::now() + kTickInterval;
   std::unique_lock lock(mutex_);
   for (;;) {
-    wake_.wait_until(lock, next, [this] { return ending_ || !queue_.empty(); });
+    wake_.wait_until(lock, next, [this] { return is_stopping_ || !queue_.empty(); });
     std::deque<std::function<void(Millis)>> work;
     work.swap(queue_);
-    const bool last = ending_ && work.empty();
+    const bool last = is_stopping_ && work.empty();
     lock.unlock();
     for (const auto& item : work) item(gateway::Now());
     if (Clock::now() >= next) {
       tick_(gateway::Now());
-      next = Clock::now() + kTick;
+      next = Clock::now() + kTickInterval;
     }
     lock.lock();
     if (last && queue_.empty()) return;
--- a/src/xds/decision_loop.hpp
+++ b/src/xds/decision_loop.hpp
@@ -24,7 +24,7 @@
 
   void Post(std::function<void(Millis now)> work);
   // The same, and waits until it is done. Not from the loop's own thread.
-  void Do(const std::function<void(Millis now)>& work);
+  void RunAndWait(const std::function<void(Millis now)>& work);
 
  private:
   void Run();
@@ -33,7 +33,7 @@
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<std::function<void(Millis)>> queue_;
-  bool ending_ = false;
+  bool is_stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/xds/drain_file.cpp
+++ b/src/xds/drain_file.cpp
@@ -14,7 +14,7 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr std::size_t kMostFile = 16 << 20;
+constexpr std::size_t kMaxFileBytes = 16 << 20;
 
 bool WriteAll(int fd, const std::string& text) {
   for (std::size_t done = 0; done < text.size();) {
@@ -32,7 +32,7 @@
   std::set<std::string> nodes;
   if (path_.empty() || (access(path_.c_str(), F_OK) != 0 && errno == ENOENT)) return nodes;
   std::string text;
-  if (!gateway::ReadFile(path_, kMostFile, text))
+  if (!gateway::ReadFile(path_, kMaxFileBytes, text))
     throw std::runtime_error(path_ + ": can't be read, or is larger than 16 MiB");
   const auto parsed = nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
   const auto drained = parsed.is_object() ? parsed.find("drained") : parsed.end();
@@ -50,12 +50,12 @@
   const std::string text = nlohmann::json{{"drained", nodes}}.dump() + "\n";
   const std::string next = path_ + ".new";
   const int fd = open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-  const bool good = fd >= 0 && WriteAll(fd, text) && fsync(fd) == 0;
+  const bool is_written = fd >= 0 && WriteAll(fd, text) && fsync(fd) == 0;
   const int error = errno;
   if (fd >= 0) close(fd);
-  if (good && rename(next.c_str(), path_.c_str()) == 0) return;
+  if (is_written && rename(next.c_str(), path_.c_str()) == 0) return;
   std::fprintf(stderr, "forkwick-control: %s: not written (%s): the drains end with this process\n",
-               path_.c_str(), std::strerror(good ? errno : error));
+               path_.c_str(), std::strerror(is_written ? errno : error));
 }
 
 }  // namespace opalswitch::xds
--- a/src/xds/load_service.cpp
+++ b/src/xds/load_service.cpp
@@ -20,70 +20,72 @@
     : public grpc::ServerBidiReactor<stats::LoadStatsRequest, stats::LoadStatsResponse> {
  public:
   Reactor(LoadService& owner, const grpc::CallbackServerContext& context) : owner_(owner) {
-    if (NameAllowed(context, owner.options_.client_names)) {
-      Next();
+    if (IsCallerAllowed(context, owner.options_.client_names)) {
+      ReadNext();
     } else {
-      End({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
+      Close({grpc::StatusCode::PERMISSION_DENIED, "no name of the certificate is allowed"});
     }
   }
 
-  void OnReadDone(bool good) override {
-    if (!good) return End(grpc::Status::OK);
-    owner_.loop_.Post([this](Millis now) { Take(now); });
+  void OnReadDone(bool ok) override {
+    if (!ok) return Close(grpc::Status::OK);
+    owner_.loop_.Post([this](Millis now) { HandleReport(now); });
   }
-  void OnCancel() override { End(grpc::Status::CANCELLED); }
+  void OnCancel() override { Close(grpc::Status::CANCELLED); }
   // What is posted for it still comes before this.
   void OnDone() override {
     owner_.loop_.Post([this](Millis) { delete this; });
   }
 
  private:
-  void Next() {
+  void ReadNext() {
     const std::lock_guard lock(mutex_);
-    if (!ended_) StartRead(&request_);
+    if (!is_closed_) StartRead(&request_);
   }
-  void End(grpc::Status status) {
+  void Close(grpc::Status status) {
     const std::lock_guard lock(mutex_);
-    if (!std::exchange(ended_, true)) Finish(std::move(status));
+    if (!std::exchange(is_closed_, true)) Finish(std::move(status));
   }
 
   // On the loop's thread.
-  void Take(Millis now) {
+  void HandleReport(Millis now) {
     const auto reports = ParseLoadReports(request_);
-    if (!std::exchange(known_, true)) {
+    if (!std::exchange(is_identified_, true)) {
       const auto& node = request_.node();
       node_ = {node.id(), node.cluster(), node.locality().zone()};
-      answer_.set_send_all_clusters(true);
-      answer_.set_report_endpoint_granularity(true);
-      const auto nanos = static_cast<std::int64_t>(owner_.options_.every * 1e6);
-      answer_.mutable_load_reporting_interval()->set_seconds(nanos / 1000000000);
-      answer_.mutable_load_reporting_interval()->set_nanos(static_cast<std::int32_t>(nanos % 1000000000));
+      response_.set_send_all_clusters(true);
+      response_.set_report_endpoint_granularity(true);
+      const auto nanos = static_cast<std::int64_t>(owner_.options_.report_interval * 1e6);
+      response_.mutable_load_reporting_interval()->set_seconds(nanos / 1000000000);
+      response_.mutable_load_reporting_interval()->set_nanos(static_cast<std::int32_t>(nanos % 1000000000));
       const std::lock_guard lock(mutex_);
-      if (!ended_) StartWrite(&answer_);
+      if (!is_closed_) StartWrite(&response_);
     }
-    const bool paced = !heard_at_ || now - *heard_at_ >= owner_.options_.every / 2;
-    if (!reports.empty() && paced && owner_.Room(now) && owner_.options_.heard) {
-      heard_at_ = now;
-      owner_.options_.heard(node_, reports, now);
+    const bool is_within_rate =
+        !last_report_at_ || now - *last_report_at_ >= owner_.options_.report_interval / 2;
+    if (!reports.empty() && is_within_rate && owner_.TryAdmitReport(now) && owner_.options_.on_report) {
+      last_report_at_ = now;
+      owner_.options_.on_report(node_, reports, now);
     }
-    Next();
+    ReadNext();
   }
 
   LoadService& owner_;
   stats::LoadStatsRequest request_;
-  stats::LoadStatsResponse answer_;
+  stats::LoadStatsResponse response_;
   std::mutex mutex_;
-  bool ended_ = false;
-  bool known_ = false;
+  bool is_closed_ = false;
+  bool is_identified_ = false;
   ProxyNode node_;
-  std::optional<Millis> heard_at_;
+  std::optional<Millis> last_report_at_;
 };
 
-bool LoadService::Room(Millis now) {
-  room_ = std::min(options_.per_second,
-                   room_ + (now - std::exchange(room_at_, now)) * options_.per_second / 1000);
-  if (room_ < 1) return false;
-  room_ -= 1;
+bool LoadService::TryAdmitReport(Millis now) {
+  tokens_ =
+      std::min(options_.max_reports_per_second, tokens_ + (now - std::exchange(tokens_updated_at_, now)) *
+                                                              options_.max_reports_per_second / 1000);
+  if (tokens_ < 1) return false;
+  tokens_ -= 1;
   return true;
 }
 
--- a/src/xds/load_service.hpp
+++ b/src/xds/load_service.hpp
@@ -18,10 +18,12 @@
 class LoadService : public envoy::service::load_stats::v3::LoadReportingService::CallbackService {
  public:
   struct Options {
-    Millis every = 1000;  // a proxy is asked to report so often; one that does it twice as often is not heard
-    double per_second = 2000;  // of all proxies together; what is beyond is not heard
+    Millis report_interval =
+        1000;  // a proxy is asked to report so often; one that does it twice as often is not heard
+    double max_reports_per_second = 2000;  // of all proxies together; what is beyond is not heard
     std::vector<std::string> client_names;
-    std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)> heard;  // on the loop
+    std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)>
+        on_report;  // on the loop
   };
   LoadService(DecisionLoop& loop, Options options) : loop_(loop), options_(std::move(options)) {}
 
@@ -32,12 +34,12 @@
  private:
   class Reactor;
   // On the loop. Whether there is room for one report more of all proxies.
-  bool Room(Millis now);
+  bool TryAdmitReport(Millis now);
 
   DecisionLoop& loop_;
   const Options options_;
-  double room_ = 0;
-  Millis room_at_ = 0;
+  double tokens_ = 0;
+  Millis tokens_updated_at_ = 0;
 };
 
 }  // namespace opalswitch::xds
--- a/src/xds/operators.cpp
+++ b/src/xds/operator_server.cpp
@@ -1,4 +1,4 @@
-#include "xds/operators.hpp"
+#include "xds/operator_server.hpp"
 
 #include <grpcpp/grpcpp.h>
 #include <sys/stat.h>
@@ -20,12 +20,12 @@
 
 namespace api = forkwick::control::v1;
 
-constexpr auto kLookEvery = std::chrono::milliseconds(5);  // whether a drain still waits
-constexpr int kMostCalls = 16;                             // of operators at once
+constexpr auto kDrainPollInterval = std::chrono::milliseconds(5);  // whether a drain still waits
+constexpr int kMaxDrainCalls = 16;                                 // of operators at once
 
 enum Exit { kDone = 0, kFailed = 1, kStillWaiting = 4 };
 
-const char* TextOf(EndpointHealth health) {
+const char* HealthName(EndpointHealth health) {
   return health == EndpointHealth::kHealthy ? "up" : health == EndpointHealth::kEjected ? "out" : "draining";
 }
 
@@ -34,7 +34,7 @@
   return kNames[static_cast<std::size_t>(type)];
 }
 
-std::string TextOf(const Rejection& rejection) {
+std::string FormatRejection(const Rejection& rejection) {
   std::string text = ShortName(rejection.type);
   for (const std::string& name : rejection.names) text += " " + name;
   return text + ": " + rejection.reason;
@@ -42,14 +42,14 @@
 
 }  // namespace
 
-class Operators::Impl : public api::Operators::Service {
+class OperatorServer::Impl : public api::Operators::Service {
  public:
-  Impl(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
-       std::function<void(const std::set<std::string>&)> drains)
-      : path_(socket), server_(server), control_(control), drains_(std::move(drains)) {
+  Impl(const std::string& socket, ControlServer& server, const std::unique_ptr<ControlPlane>& control,
+       std::function<void(const std::set<std::string>&)> on_drains_changed)
+      : path_(socket), server_(server), control_(control), on_drains_changed_(std::move(on_drains_changed)) {
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota;
-    quota.SetMaxThreads(kMostCalls + 4);
+    quota.SetMaxThreads(kMaxDrainCalls + 4);
     builder.SetResourceQuota(quota);
     builder.SetSyncServerOption(grpc::ServerBuilder::SyncServerOption::MAX_POLLERS, 2);
     builder.AddListeningPort("unix:" + socket, grpc::InsecureServerCredentials());
@@ -62,13 +62,13 @@
       throw std::runtime_error(socket + ": can't be made as a socket");
   }
   ~Impl() override {
-    ending_ = true;
+    is_stopping_ = true;
     grpc_->Shutdown(std::chrono::system_clock::now());
     unlink(path_.c_str());
   }
 
   grpc::Status Status(grpc::ServerContext*, const api::StatusRequest*, api::StatusReply* reply) override {
-    server_.With([&](StreamHub& hub, Millis now) {
+    server_.RunOnDecisionThread([&](StreamHub& hub, Millis now) {
       const auto statistics = hub.statistics();
       reply->set_pushes(statistics.pushes);
       reply->set_acks(statistics.acks);
@@ -83,7 +83,7 @@
         to->set_group(proxy.group);
         to->set_settled(proxy.settled);
         to->set_nacks(proxy.nacks);
-        if (proxy.last_rejection) to->set_last_rejection(TextOf(*proxy.last_rejection));
+        if (proxy.last_rejection) to->set_last_rejection(FormatRejection(*proxy.last_rejection));
       }
       if (!control_) return ControlPlane::OutgoingMessages();
       reply->set_load_reports(control_->load_report_count());
@@ -96,7 +96,7 @@
           auto* const one = to->add_hosts();
           one->set_id(host.id);
           one->set_address(host.address);
-          one->set_standing(TextOf(host.health));
+          one->set_standing(HealthName(host.health));
           one->set_weight(host.weight);
           one->set_trial(host.is_probed);
           one->set_failing(host.failure_fraction);
@@ -110,11 +110,11 @@
 
   grpc::Status Drain(grpc::ServerContext* context, const api::DrainRequest* request,
                      grpc::ServerWriter<api::DrainReply>* writer) override {
-    if (calls_.fetch_add(1) >= kMostCalls) {
+    if (calls_.fetch_add(1) >= kMaxDrainCalls) {
       --calls_;
       return {grpc::StatusCode::RESOURCE_EXHAUSTED, "too many drains are waited for at once"};
     }
-    const auto end = Wait(context, *request, writer);
+    const auto end = StreamDrainProgress(context, *request, writer);
     --calls_;
     return end;
   }
@@ -122,11 +122,11 @@
   grpc::Status Undrain(grpc::ServerContext*, const api::UndrainRequest* request,
                        api::UndrainReply*) override {
     bool known = false;
-    server_.With([&](StreamHub&, Millis now) {
+    server_.RunOnDecisionThread([&](StreamHub&, Millis now) {
       known = control_ && control_->drained_nodes().contains(request->node());
       if (!known) return ControlPlane::OutgoingMessages();
       auto out = control_->Undrain(request->node(), now);
-      drains_(control_->drained_nodes());
+      on_drains_changed_(control_->drained_nodes());
       return out;
     });
     if (known) return grpc::Status::OK;
@@ -134,23 +134,23 @@
   }
 
  private:
-  grpc::Status Wait(grpc::ServerContext* context, const api::DrainRequest& request,
-                    grpc::ServerWriter<api::DrainReply>* writer) {
+  grpc::Status StreamDrainProgress(grpc::ServerContext* context, const api::DrainRequest& request,
+                                   grpc::ServerWriter<api::DrainReply>* writer) {
     bool known = false;
     Millis begun = 0;
-    server_.With([&](StreamHub&, Millis now) {
+    server_.RunOnDecisionThread([&](StreamHub&, Millis now) {
       begun = now;
       known = control_ && control_->HasNode(request.node());
       if (!known) return ControlPlane::OutgoingMessages();
       auto out = control_->Drain(request.node(), now);
-      drains_(control_->drained_nodes());
+      on_drains_changed_(control_->drained_nodes());
       return out;
     });
     if (!known) return {grpc::StatusCode::NOT_FOUND, "no pool has a host '" + request.node() + "'"};
     std::set<std::string> named;
     for (bool first = true;; first = false) {
       api::DrainReply reply;
-      server_.With([&](StreamHub&, Millis now) {
+      server_.RunOnDecisionThread([&](StreamHub&, Millis now) {
         reply.set_after_ms(now - begun);
         for (const StreamHub::PendingProxy& waiting : control_->PendingProxies(request.node(), now)) {
           auto* const to = reply.add_waiting();
@@ -166,33 +166,34 @@
       }
       named = std::move(names);
       if (named.empty() || !request.wait()) return grpc::Status::OK;
-      if (ending_) return {grpc::StatusCode::UNAVAILABLE, "the control service ends"};
+      if (is_stopping_) return {grpc::StatusCode::UNAVAILABLE, "the control service ends"};
       if (context->IsCancelled()) return grpc::Status::CANCELLED;
-      std::this_thread::sleep_for(kLookEvery);
+      std::this_thread::sleep_for(kDrainPollInterval);
     }
   }
 
   const std::string path_;
-  Server& server_;
+  ControlServer& server_;
   const std::unique_ptr<ControlPlane>& control_;
-  const std::function<void(const std::set<std::string>&)> drains_;
+  const std::function<void(const std::set<std::string>&)> on_drains_changed_;
   std::atomic<int> calls_{0};
-  std::atomic<bool> ending_{false};
+  std::atomic<bool> is_stopping_{false};
   std::unique_ptr<grpc::Server> grpc_;
 };
 
-Operators::Operators(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
-                     std::function<void(const std::set<std::string>&)> drains)
-    : impl_(std::make_unique<Impl>(socket, server, control, std::move(drains))) {}
-Operators::~Operators() = default;
+OperatorServer::OperatorServer(const std::string& socket, ControlServer& server,
+                               const std::unique_ptr<ControlPlane>& control,
+                               std::function<void(const std::set<std::string>&)> on_drains_changed)
+    : impl_(std::make_unique<Impl>(socket, server, control, std::move(on_drains_changed))) {}
+OperatorServer::~OperatorServer() = default;
 
 namespace {
 
-std::unique_ptr<api::Operators::Stub> Reach(const std::string& socket) {
+std::unique_ptr<api::Operators::Stub> Connect(const std::string& socket) {
   return api::Operators::NewStub(grpc::CreateChannel("unix:" + socket, grpc::InsecureChannelCredentials()));
 }
 
-int Failed(const std::string& socket, const grpc::Status& status) {
+int ReportFailure(const std::string& socket, const grpc::Status& status) {
   if (status.error_code() == grpc::StatusCode::UNAVAILABLE) {
     std::fprintf(stderr, "forkwick-control: %s: nobody answers (%s)\n", socket.c_str(),
                  status.error_message().c_str());
@@ -243,8 +244,8 @@
   grpc::ClientContext context;
   context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(10));
   api::StatusReply reply;
-  const grpc::Status status = Reach(socket)->Status(&context, {}, &reply);
-  if (!status.ok()) return Failed(socket, status);
+  const grpc::Status status = Connect(socket)->Status(&context, {}, &reply);
+  if (!status.ok()) return ReportFailure(socket, status);
   if (json) return std::printf("%s\n", ToJson(reply).dump(2).c_str()), kDone;
   for (const auto& pool : reply.pools()) {
     std::printf("pool %s (%s)\n", pool.id().c_str(), pool.strict() ? "strict" : "static");
@@ -276,21 +277,21 @@
   return kDone;
 }
 
-int DrainNode(const std::string& socket, const std::string& node, bool wait, Millis most) {
+int DrainNode(const std::string& socket, const std::string& node, bool wait, Millis timeout) {
   grpc::ClientContext context;
-  if (most > 0) {
+  if (timeout > 0) {
     context.set_deadline(std::chrono::system_clock::now() +
-                         std::chrono::microseconds(static_cast<std::int64_t>(most * 1000)));
+                         std::chrono::microseconds(static_cast<std::int64_t>(timeout * 1000)));
   }
   api::DrainRequest request;
   request.set_node(node);
   request.set_wait(wait);
-  const auto stub = Reach(socket);
+  const auto stub = Connect(socket);
   const auto reader = stub->Drain(&context, request);
   api::DrainReply reply;
-  bool told = false;
+  bool has_replied = false;
   while (reader->Read(&reply)) {
-    told = true;
+    has_replied = true;
     if (reply.waiting().empty()) {
       std::printf("%s is drained: no proxy sends to it any more, %.0f ms after it was told\n", node.c_str(),
                   reply.after_ms());
@@ -307,11 +308,11 @@
   }
   const grpc::Status status = reader->Finish();
   if (status.ok()) return kDone;
-  if (status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED && told) {
+  if (status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED && has_replied) {
     std::printf("still waiting; the drain holds\n");
     return kStillWaiting;
   }
-  return Failed(socket, status);
+  return ReportFailure(socket, status);
 }
 
 int UndrainNode(const std::string& socket, const std::string& node) {
@@ -320,8 +321,8 @@
   api::UndrainRequest request;
   request.set_node(node);
   api::UndrainReply reply;
-  const grpc::Status status = Reach(socket)->Undrain(&context, request, &reply);
-  if (!status.ok()) return Failed(socket, status);
+  const grpc::Status status = Connect(socket)->Undrain(&context, request, &reply);
+  if (!status.ok()) return ReportFailure(socket, status);
   std::printf("%s is no longer drained\n", node.c_str());
   return kDone;
 }
--- a/src/xds/operators.hpp
+++ b/src/xds/operator_server.hpp
@@ -1,7 +1,7 @@
 // The local socket by which operators ask what the control service does, and drain nodes. Who may write to
 // the socket's file may do all of it: it is made for its owner alone.
-#ifndef OPALSWITCH_XDS_OPERATORS_HPP_
-#define OPALSWITCH_XDS_OPERATORS_HPP_
+#ifndef OPALSWITCH_XDS_OPERATOR_SERVER_HPP_
+#define OPALSWITCH_XDS_OPERATOR_SERVER_HPP_
 
 #include <functional>
 #include <memory>
@@ -9,17 +9,18 @@
 #include <string>
 
 #include "xds/control_plane.hpp"
-#include "xds/server.hpp"
+#include "xds/control_server.hpp"
 
 namespace opalswitch::xds {
 
-class Operators {
+class OperatorServer {
  public:
   // `control` is used on the server's deciding thread alone, and may be null until it is made. `drains` is
   // told, on that thread, what is drained from now on. Throws std::runtime_error if the socket can't be made.
-  Operators(const std::string& socket, Server& server, const std::unique_ptr<ControlPlane>& control,
-            std::function<void(const std::set<std::string>&)> drains);
-  ~Operators();
+  OperatorServer(const std::string& socket, ControlServer& server,
+                 const std::unique_ptr<ControlPlane>& control,
+                 std::function<void(const std::set<std::string>&)> on_drains_changed);
+  ~OperatorServer();
 
  private:
   class Impl;
@@ -28,10 +29,10 @@
 
 // The client's side, for the command line. Each gives the exit code and prints what it found.
 int ShowStatus(const std::string& socket, bool json);
-// Waits for `most` ms at the most; 0 = for ever.
-int DrainNode(const std::string& socket, const std::string& node, bool wait, Millis most);
+// Waits for `timeout` ms at the most; 0 = for ever.
+int DrainNode(const std::string& socket, const std::string& node, bool wait, Millis timeout);
 int UndrainNode(const std::string& socket, const std::string& node);
 
 }  // namespace opalswitch::xds
 
-#endif  // OPALSWITCH_XDS_OPERATORS_HPP_
+#endif  // OPALSWITCH_XDS_OPERATOR_SERVER_HPP_
--- a/src/xds/wire.cpp
+++ b/src/xds/proto_conversion.cpp
@@ -1,4 +1,4 @@
-#include "xds/wire.hpp"
+#include "xds/proto_conversion.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace discovery = envoy::service::discovery::v3;
 
-std::vector<std::string> Texts(const google::protobuf::RepeatedPtrField<std::string>& from) {
+std::vector<std::string> ToStrings(const google::protobuf::RepeatedPtrField<std::string>& from) {
   return {from.begin(), from.end()};
 }
 
@@ -30,8 +30,8 @@
 }
 
 // A resource with its lease; one that a heartbeat renews has no content.
-discovery::Resource Wrapped(const StreamHub::OutgoingMessage& out, const std::string& name,
-                            const Resource* resource, Millis lease) {
+discovery::Resource WrapResource(const StreamHub::OutgoingMessage& out, const std::string& name,
+                                 const Resource* resource, Millis lease) {
   discovery::Resource wrapped;
   wrapped.set_name(name);
   if (resource != nullptr) {
@@ -55,7 +55,7 @@
   request.type = *type;
   request.nonce = from.response_nonce();
   request.version = from.version_info();
-  request.names = Texts(from.resource_names());
+  request.names = ToStrings(from.resource_names());
   if (from.has_error_detail()) request.error_detail = from.error_detail().message();
   return request;
 }
@@ -66,20 +66,20 @@
   XdsRequest request;
   request.type = *type;
   request.nonce = from.response_nonce();
-  request.subscribe = Texts(from.resource_names_subscribe());
-  request.unsubscribe = Texts(from.resource_names_unsubscribe());
+  request.subscribe = ToStrings(from.resource_names_subscribe());
+  request.unsubscribe = ToStrings(from.resource_names_unsubscribe());
   for (const auto& [name, version] : from.initial_resource_versions())
     request.initial_versions[name] = version;
   if (from.has_error_detail()) request.error_detail = from.error_detail().message();
   return request;
 }
 
-void Fill(discovery::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
-          const std::string& identifier) {
+void FillResponse(discovery::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
+                  const std::string& identifier) {
   to.set_version_info(out.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
   const auto add = [&](const std::string& name, const Resource* resource) {
-    to.add_resources()->PackFrom(Wrapped(out, name, resource, lease));
+    to.add_resources()->PackFrom(WrapResource(out, name, resource, lease));
   };
   for (const ResourcePtr& resource : out.response.resources) {
     if (IsLeased(out, resource->name)) {
@@ -92,16 +92,17 @@
   for (const std::string& name : out.leased_names) add(name, nullptr);
 }
 
-void Fill(discovery::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
-          const std::string& identifier) {
+void FillResponse(discovery::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
+                  const std::string& identifier) {
   to.set_system_version_info(out.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
   for (const ResourcePtr& resource : out.response.resources) {
-    *to.add_resources() = Wrapped(out, resource->name, resource.get(), lease);
+    *to.add_resources() = WrapResource(out, resource->name, resource.get(), lease);
   }
   for (const std::string& name : out.response.removed) to.add_removed_resources(name);
   if (!out.is_heartbeat) return;
-  for (const std::string& name : out.leased_names) *to.add_resources() = Wrapped(out, name, nullptr, lease);
+  for (const std::string& name : out.leased_names)
+    *to.add_resources() = WrapResource(out, name, nullptr, lease);
 }
 
 }  // namespace opalswitch::xds
--- a/src/xds/wire.hpp
+++ b/src/xds/proto_conversion.hpp
@@ -1,6 +1,6 @@
 // ADS messages from and to the forms that the hub decides on. Pure.
-#ifndef OPALSWITCH_XDS_WIRE_HPP_
-#define OPALSWITCH_XDS_WIRE_HPP_
+#ifndef OPALSWITCH_XDS_PROTO_CONVERSION_HPP_
+#define OPALSWITCH_XDS_PROTO_CONVERSION_HPP_
 
 #include <optional>
 #include <string>
@@ -26,11 +26,11 @@
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
 
 // `lease`: the time to live, in ms, of what is leased.
-void Fill(envoy::service::discovery::v3::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
-          Millis lease, const std::string& identifier);
-void Fill(envoy::service::discovery::v3::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
-          Millis lease, const std::string& identifier);
+void FillResponse(envoy::service::discovery::v3::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
+                  Millis lease, const std::string& identifier);
+void FillResponse(envoy::service::discovery::v3::DeltaDiscoveryResponse& to,
+                  const StreamHub::OutgoingMessage& out, Millis lease, const std::string& identifier);
 
 }  // namespace opalswitch::xds
 
-#endif  // OPALSWITCH_XDS_WIRE_HPP_
+#endif  // OPALSWITCH_XDS_PROTO_CONVERSION_HPP_
--- a/src/xds/tls.cpp
+++ b/src/xds/tls.cpp
@@ -11,12 +11,12 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr unsigned kLookEvery = 1;  // seconds
-constexpr std::size_t kMostFile = 1 << 20;
+constexpr unsigned kFileCheckIntervalSeconds = 1;  // seconds
+constexpr std::size_t kMaxFileBytes = 1 << 20;
 
-void Check(const std::string& path, const char* begin) {
+void RequirePem(const std::string& path, const char* begin) {
   std::string text;
-  if (!gateway::ReadFile(path, kMostFile, text))
+  if (!gateway::ReadFile(path, kMaxFileBytes, text))
     throw std::runtime_error(path + ": can't be read, or is larger than 1 MiB");
   if (text.find(begin) == std::string::npos)
     throw std::runtime_error(path + ": holds no \"" + begin + "\", expected PEM");
@@ -25,11 +25,11 @@
 }  // namespace
 
 std::shared_ptr<grpc::ServerCredentials> MakeCredentials(const config::ControlTls& tls) {
-  Check(tls.certificate, "-----BEGIN CERTIFICATE-----");
-  Check(tls.key, "PRIVATE KEY-----");
-  if (!tls.client_authority.empty()) Check(tls.client_authority, "-----BEGIN CERTIFICATE-----");
+  RequirePem(tls.certificate, "-----BEGIN CERTIFICATE-----");
+  RequirePem(tls.key, "PRIVATE KEY-----");
+  if (!tls.client_authority.empty()) RequirePem(tls.client_authority, "-----BEGIN CERTIFICATE-----");
   const auto provider = std::make_shared<grpc::experimental::FileWatcherCertificateProvider>(
-      tls.key, tls.certificate, tls.client_authority, kLookEvery);
+      tls.key, tls.certificate, tls.client_authority, kFileCheckIntervalSeconds);
   grpc::experimental::TlsServerCredentialsOptions options(provider);
   options.watch_identity_key_cert_pairs();
   if (!tls.client_authority.empty()) {
@@ -39,7 +39,7 @@
   return grpc::experimental::TlsServerCredentials(options);
 }
 
-bool NameAllowed(const grpc::CallbackServerContext& context, const std::vector<std::string>& names) {
+bool IsCallerAllowed(const grpc::CallbackServerContext& context, const std::vector<std::string>& names) {
   if (names.empty()) return true;
   const auto caller = context.auth_context();
   if (!caller || !caller->IsPeerAuthenticated()) return false;
--- a/src/xds/tls.hpp
+++ b/src/xds/tls.hpp
@@ -21,7 +21,7 @@
 
 // Whether the caller's certificate has one of the names (its subject alternative names, or else its common
 // name); any caller if there are none to ask for.
-bool NameAllowed(const grpc::CallbackServerContext& context, const std::vector<std::string>& names);
+bool IsCallerAllowed(const grpc::CallbackServerContext& context, const std::vector<std::string>& names);
 
 }  // namespace opalswitch::xds
 
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -8,8 +8,8 @@
 #include <cstdlib>
 
 #include "config/services.hpp"
+#include "xds/control_server.hpp"
 #include "xds/resources.hpp"
-#include "xds/server.hpp"
 
 namespace opalswitch::testing {
 namespace {
@@ -87,7 +87,7 @@
       "f", "");
   ASSERT_TRUE(parsed.services);
   Named a("a"), b("b");
-  xds::Server control{xds::ServerOptions()};
+  xds::ControlServer control{xds::ControlServerOptions()};
   const auto publish = [&](EndpointHealth health_of_a) {
     const xds::EndpointAssignments nodes = {
         {"one",
@@ -96,7 +96,7 @@
     xds::ResourceOptions options;
     options.for_grpc_clients = true;
     options.requests_load_reports = false;
-    control.With([&](StreamHub& hub, Millis now) {
+    control.RunOnDecisionThread([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*parsed.services, nodes, options), true, now);
     });
   };
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -6,8 +6,8 @@
 #include "services_text.hpp"
 #include "standins/cutting_relay.hpp"
 #include "standins/xds_client.hpp"
+#include "xds/control_server.hpp"
 #include "xds/resources.hpp"
-#include "xds/server.hpp"
 
 namespace opalswitch::testing {
 namespace {
@@ -34,24 +34,24 @@
 }
 
 struct World {
-  explicit World(xds::ServerOptions options = {}) {
+  explicit World(xds::ControlServerOptions options = {}) {
     options.hub.lease_duration = 20000;  // of no matter here but where a test says so: busy machines are slow
     options.hub.heartbeat_interval = 50;
     server.emplace(std::move(options));
-    server->With([](StreamHub& hub, Millis) {
+    server->RunOnDecisionThread([](StreamHub& hub, Millis) {
       hub.SetStrictPools({"one"});
       return std::vector<StreamHub::OutgoingMessage>();
     });
     Publish(Nodes(), true);
   }
   void Publish(const xds::EndpointAssignments& nodes, bool urgent) {
-    server->With([&](StreamHub& hub, Millis now) {
+    server->RunOnDecisionThread([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*services, nodes, {}), urgent, now);
     });
   }
   StreamHub::Statistics Statistics() {
     StreamHub::Statistics statistics;
-    server->With([&](StreamHub& hub, Millis) {
+    server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
       statistics = hub.statistics();
       return std::vector<StreamHub::OutgoingMessage>();
     });
@@ -68,7 +68,7 @@
   }
 
   std::shared_ptr<const config::Services> services = Services();
-  std::optional<xds::Server> server;
+  std::optional<xds::ControlServer> server;
 };
 
 class XdsServer : public ::testing::TestWithParam<bool> {};
@@ -143,7 +143,7 @@
   EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
   EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
   std::optional<xds::Rejection> rejection;
-  world.server->With([&](StreamHub& hub, Millis) {
+  world.server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
     rejection = hub.ProxyStatuses().at(0).last_rejection;
     return std::vector<StreamHub::OutgoingMessage>();
   });
@@ -152,7 +152,7 @@
 }
 
 TEST_P(XdsServer, AProxyThatAcknowledgesNothingIsDropped) {
-  xds::ServerOptions options;
+  xds::ControlServerOptions options;
   options.hub.ack_timeout = 100;
   World world(options);
   XdsClient silent(world.server->port(), GetParam(), "silent"),
@@ -186,7 +186,7 @@
                          });
 
 TEST(XdsServerLimits, RefusesMoreProxiesThanItsBound) {
-  xds::ServerOptions options;
+  xds::ControlServerOptions options;
   options.hub.max_streams = 1;
   World world(options);
   XdsClient first(world.server->port(), true), second(world.server->port(), true);
@@ -198,8 +198,8 @@
 
 // A proxy that reads nothing is dropped, not buffered, and the others are told as ever.
 TEST(XdsServerLimits, DropsAProxyThatNeverReads) {
-  xds::ServerOptions options;
-  options.queued_bytes = 256 * 1024;
+  xds::ControlServerOptions options;
+  options.max_queued_bytes = 256 * 1024;
   World world(options);
   XdsClient good(world.server->port(), true, "good");
   ASSERT_TRUE(MakeWhole(good));
@@ -263,9 +263,9 @@
 }
 
 TEST(XdsServerLimits, SpeaksPlaintextOnLoopbackAlone) {
-  xds::ServerOptions options;
+  xds::ControlServerOptions options;
   options.address = "0.0.0.0:0";
-  EXPECT_THROW(xds::Server{options}, std::runtime_error);
+  EXPECT_THROW(xds::ControlServer{options}, std::runtime_error);
 }
 
 }  // namespace
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -7,7 +7,7 @@
 
 #include "envoy/service/discovery/v3/ads.grpc.pb.h"
 #include "standins/certificates.hpp"
-#include "xds/server.hpp"
+#include "xds/control_server.hpp"
 #include "xds/tls.hpp"
 
 namespace opalswitch::testing {
@@ -34,11 +34,11 @@
   }
   void Start(std::vector<std::string> names) {
     config::ControlTls tls{Path("server.pem"), Path("server.key"), Path("proxies.pem"), {}};
-    xds::ServerOptions options;
+    xds::ControlServerOptions options;
     options.credentials = xds::MakeCredentials(tls);
     options.client_names = std::move(names);
     control.emplace(std::move(options));
-    control->With([](xds::StreamHub& hub, Millis now) {
+    control->RunOnDecisionThread([](xds::StreamHub& hub, Millis now) {
       return hub.Publish(
           "", std::make_shared<xds::Snapshot>(std::array<xds::ResourceMap, xds::kResourceTypeCount>()), true,
           now);
@@ -71,7 +71,7 @@
 
   Certificate authority = MakeCertificate("authority");
   Certificate server = MakeCertificate("control.example.org", &authority);
-  std::optional<xds::Server> control;
+  std::optional<xds::ControlServer> control;
 };
 
 TEST(XdsTls, LetsInWhoHoldsACertificateWithAnAllowedName) {
