--- a/src/xds/snapshot.cpp
+++ b/src/xds/snapshot.cpp
@@ -17,11 +17,11 @@
     "type.googleapis.com/envoy.config.listener.v3.Listener",
     "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 };
-constexpr std::size_t kMaxUnshardedResources = 256;  // in one shard; more are dealt out to kShardCount
+constexpr std::size_t kMaxUnshardedResources = 256;  // a larger table is split into kShardCount shards
 constexpr std::size_t kShardCount = 256;
-constexpr int kMaxChangeRecords = 64;  // that a snapshot remembers of how it came about
+constexpr int kMaxChangeRecords = 64;  // length of the chain of records that a snapshot keeps
 
-// Tells snapshots and resources of one process apart; no shard of what proxies see.
+// Serial numbers order the snapshots and resources of one process; proxies never see them.
 std::uint64_t NextSerial() {
   static std::atomic<std::uint64_t> last{0};
   return ++last;
@@ -97,8 +97,8 @@
 }
 
 std::shared_ptr<const ResourceTable> ResourceTable::WithChanges(const ResourceMap& changes) const {
-  if (shards_.size() == 1 &&
-      size_ + changes.size() > kMaxUnshardedResources) {  // it may have grown out of one shard
+  // The result may be too large for one shard, so the table is built anew.
+  if (shards_.size() == 1 && size_ + changes.size() > kMaxUnshardedResources) {
     ResourceMap all = *shards_[0];
     for (const auto& [name, resource] : changes) {
       all.erase(name);
