--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -42,7 +42,7 @@
   const auto& groups = services_->control.groups;
   const auto takes = [](const std::vector<std::string>& patterns, const std::string& name) {
     return patterns.empty() || std::any_of(patterns.begin(), patterns.end(), [&](const std::string& pattern) {
-             return config::Takes(pattern, name);
+             return config::MatchesPattern(pattern, name);
            });
   };
   for (const config::ControlGroup& group : groups) {
@@ -60,7 +60,7 @@
   std::set<std::string> strict;
   std::map<std::string, std::unique_ptr<Pool>> pools;
   for (const config::Pool& from : services_->pools) {
-    if (from.strict) strict.insert(from.id);
+    if (from.strict_drain) strict.insert(from.id);
     const auto found = pools_.find(from.id);
     if (found != pools_.end() && found->second->definition == from.definition) {
       pools[from.id] = std::move(found->second);
@@ -70,11 +70,11 @@
     pools[from.id]->registry_id = pools_created_;
     if (found == pools_.end() || !found->second) continue;
     // Until its membership tells: the hosts that the old pool knew.
-    const gateway::HostList known = nodes_.ViewOf(found->second->registry_id);
+    const gateway::HostList known = nodes_.HostsOf(found->second->registry_id);
     if (!known.hosts.empty()) ApplyHostList(from.id, *pools[from.id], known, now);
   }
   for (const auto& [id, pool] : pools_) {
-    if (pool) nodes_.Forget(pool->registry_id);
+    if (pool) nodes_.RemovePool(pool->registry_id);
     if (!pools.contains(id)) drain_requirements_.erase(id);
   }
   pools_ = std::move(pools);
@@ -157,8 +157,8 @@
   for (const std::string& line : pool.decider.TakeLog()) log_("pool " + id + ": " + line);
 }
 
-void ControlPlane::ApplyUpdates(const std::vector<gateway::NodeRegistry::News>& news, Millis now) {
-  for (const gateway::NodeRegistry::News& item : news) {
+void ControlPlane::ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now) {
+  for (const gateway::NodeRegistry::PoolUpdate& item : news) {
     for (auto& [id, pool] : pools_) {
       if (pool->registry_id == item.pool) ApplyHostList(id, *pool, item.list, now);
     }
@@ -170,7 +170,7 @@
   OutgoingMessages out;
   const auto found = pools_.find(id);
   if (found == pools_.end()) return out;
-  const auto news = nodes_.Told(found->second->registry_id, list, now);
+  const auto news = nodes_.ApplyUpdate(found->second->registry_id, list, now);
   ApplyUpdates(news, now);
   for (auto& [name, pool] : pools_) {
     const auto reached = std::find_if(news.begin(), news.end(),
@@ -372,7 +372,7 @@
 ControlPlane::OutgoingMessages ControlPlane::ApplyDrainChange(const std::string& node, Millis now) {
   OutgoingMessages out;
   for (auto& [id, pool] : pools_) {
-    const auto host = nodes_.HostOf(pool->registry_id, node);
+    const auto host = nodes_.FindHost(pool->registry_id, node);
     if (!host) continue;
     ApplyHostList(id, *pool, {0, false, {*host}}, now);
     Append(out, PublishUnusable(id, *pool, {node}, now));
@@ -410,7 +410,7 @@
 std::vector<ControlPlane::PoolStatus> ControlPlane::Status(Millis now) const {
   std::vector<PoolStatus> all;
   for (const config::Pool& pool : services_->pools) {
-    all.push_back({pool.id, pool.strict, pools_.at(pool.id)->decider.Status(now)});
+    all.push_back({pool.id, pool.strict_drain, pools_.at(pool.id)->decider.Status(now)});
   }
   return all;
 }
--- a/src/xds/control_plane.hpp
+++ b/src/xds/control_plane.hpp
@@ -83,7 +83,7 @@
   // The operators' drain of a node has begun or ended.
   OutgoingMessages ApplyDrainChange(const std::string& node, Millis now);
   void ApplyHostList(const std::string& id, Pool& pool, const gateway::HostList& list, Millis now);
-  void ApplyUpdates(const std::vector<gateway::NodeRegistry::News>& news, Millis now);
+  void ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now);
   void WriteDecisionLog(const std::string& id, Pool& pool);
   // Tells of a pool's endpoints if they differ enough from what was told. Costs what the pool has.
   OutgoingMessages PublishChanges(const std::string& id, Pool& pool, Millis now);
--- a/src/xds/pool_decider.cpp
+++ b/src/xds/pool_decider.cpp
@@ -61,7 +61,7 @@
     }
     record.host = host;
     // Of two at one address the one that is up counts: the other drains, or is gone.
-    const auto [place, free] = by_address_.try_emplace(gateway::ToText(host.address), id);
+    const auto [place, free] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
     if (!free && host.server.state == ServerState::kUp) place->second = id;
   }
   if (list.complete) {
@@ -81,7 +81,7 @@
 }
 
 void PoolDecider::RemoveAddress(const std::string& id, const HostRecord& record) {
-  const auto place = by_address_.find(gateway::ToText(record.host.address));
+  const auto place = by_address_.find(gateway::FormatEndpoint(record.host.address));
   if (place != by_address_.end() && place->second == id) by_address_.erase(place);
 }
 
@@ -269,8 +269,8 @@
   for (const EndpointAssignment& endpoint : Endpoints()) {
     const HostRecord& record = hosts_.at(endpoint.id);
     const auto estimate = load_aggregator_.Estimate(endpoint.id, 0, now);
-    statuses.push_back({endpoint.id, gateway::ToText(record.host.address), endpoint.health, endpoint.weight,
-                        record.probing_since >= 0, estimate ? estimate->failure_fraction : 0,
+    statuses.push_back({endpoint.id, gateway::FormatEndpoint(record.host.address), endpoint.health,
+                        endpoint.weight, record.probing_since >= 0, estimate ? estimate->failure_fraction : 0,
                         estimate ? estimate->reporter_count : 0});
   }
   return statuses;
