--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t kMaxReasonBytes = 500;
-constexpr std::size_t kMaxRejectedNames = 100;  // of a rejected answer, to be told
-constexpr std::size_t kResourceOverheadBytes =
-    64;  // bytes of a resource in an answer beside its name and content
+constexpr std::size_t kMaxRejectedNames = 100;      // names kept of a rejected response
+constexpr std::size_t kResourceOverheadBytes = 64;  // of a resource in a response, beside name and content
 
+// In the state-of-the-world variant, a response of these types lists all resources (published protocol).
 bool IsFullStateType(ResourceType type) {
   return type == ResourceType::kCluster || type == ResourceType::kListener;
 }
@@ -101,8 +101,9 @@
     return std::string("too many initial versions");
   HandleAcknowledgement(state, request, snapshot);
   if (variant_ == Variant::kDelta) return HandleDelta(state, request, snapshot);
-  if (request.type == ResourceType::kLbEndpoint) return std::nullopt;  // this variant has no collections
-  // A stale nonce: the proxy has not seen the newest answer yet, and will say it all again when it has.
+  if (request.type == ResourceType::kLbEndpoint)
+    return std::nullopt;  // LEDS exists only in the delta variant
+  // A stale nonce: the proxy has not received the latest response yet, and repeats its request when it has.
   if (state.has_requested && request.nonce != state.latest_nonce) {
     ++stale_nonces_;
     return std::nullopt;
@@ -120,8 +121,8 @@
   state.needs_full_comparison = true;
   if (first) {
     state.must_respond = true;
-    // A proxy that comes over from another instance, or back after a restart, with the whole list as it is
-    // now.
+    // A proxy that has switched from another instance, or reconnected after a restart, and already has the
+    // current list: nothing is sent.
     if (wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
       state.must_respond = false;
       snapshot.table(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
@@ -152,7 +153,7 @@
         resource = std::make_shared<const Resource>(Resource{name, version, {}, {}, 0});
       state.accepted.Set(name, resource);
       state.latest.Set(name, resource);
-      state.must_respond = false;  // nothing is owed to one that has all that there is
+      state.must_respond = false;  // a proxy that is up to date needs no response
     }
   }
   const auto is_collection = [&](const std::string& name) {
@@ -166,7 +167,7 @@
       if (!first) ForgetCollection(state, collection);
       state.collections.insert(collection);
     } else {
-      // Asking for a name again asks for the resource again, but for what the proxy says it has.
+      // Subscribing to a name again requests the resource again, unless the proxy says that it has it.
       if (!(first && request.initial_versions.contains(name))) ForgetResource(state, name);
       state.names.insert(name);
     }
@@ -193,10 +194,10 @@
   if (request.nonce.empty()) return;
   const auto found = std::find_if(state.unacknowledged.begin(), state.unacknowledged.end(),
                                   [&](const SentResponse& sent) { return sent.nonce == request.nonce; });
-  if (found == state.unacknowledged.end()) return;  // of another stream, or answered before
+  if (found == state.unacknowledged.end()) return;  // of another stream, or already answered
   if (!request.error_detail) {
     ++acks_;
-    // Answers are acknowledged in their order: the earlier ones were taken in with this one.
+    // Responses are processed in order: an ACK covers all earlier ones, too.
     const auto end = found + 1;
     bool content = false;
     for (auto sent = state.unacknowledged.begin(); sent != end; ++sent) {
@@ -215,9 +216,10 @@
         state.route_clusters.insert(resource->referenced_clusters.begin(),
                                     resource->referenced_clusters.end());
       });
-      StateOf(ResourceType::kCluster).needs_full_comparison = true;  // some may go now
+      // Clusters that no route refers to any more may be removed now.
+      StateOf(ResourceType::kCluster).needs_full_comparison = true;
     }
-    // It has all that there is: as do the others, who share one list of it.
+    // The proxy holds its collections exactly as the snapshot has them: share the snapshot's table.
     if (content && state.unacknowledged.empty() && !state.needs_full_comparison &&
         state.compared_serial == snapshot.serial() && state.rejected_versions.empty() &&
         state.names.empty() && !state.is_wildcard && !state.collections.empty()) {
@@ -233,8 +235,8 @@
     if (rejection.names.size() < kMaxRejectedNames) rejection.names.push_back(name);
   }
   if (found->changed.size() > 1) {
-    // One of several is bad, and the proxy took none. Each is tried alone: the bad one must not hold back the
-    // others.
+    // At least one of several resources is bad, and the proxy has rejected all of them. Each is sent alone,
+    // so that the bad one does not hold back the others.
     for (const auto& [name, resource] : found->changed) state.retry_individually.insert(name);
   } else {
     for (const auto& [name, resource] : found->changed) {
@@ -243,7 +245,7 @@
     }
   }
   state.unacknowledged.erase(found);
-  // What the proxy will hold: what it has accepted, and what is on its way still.
+  // The rejected response no longer counts: accepted resources plus the remaining unacknowledged responses.
   state.latest = state.accepted;
   for (const SentResponse& sent : state.unacknowledged) ApplyToLatest(state, sent);
   last_rejection_ = std::move(rejection);
@@ -257,9 +259,9 @@
     if (found->is_placeholder) return state.latest.Find(name);
     const auto rejected = state.rejected_versions.find(name);
     if (rejected == state.rejected_versions.end() || rejected->second != found->version) return found;
-    return state.latest.Find(name);  // what it has, or will have, in place of that
+    return state.latest.Find(name);  // keep what it has or is about to have instead
   }
-  // Break after make: a cluster that the proxy's routes still lead to stays until they don't.
+  // Make before break: a cluster that the proxy's routes still refer to is not removed yet.
   if (type == ResourceType::kCluster && StateOf(ResourceType::kRoute).route_clusters.contains(name))
     return state.accepted.Find(name);
   return nullptr;
@@ -295,7 +297,7 @@
     if (!known || known->version != desired->version) {
       sent.changed[name] = desired;
     } else if (known != desired) {
-      // Told by its version alone until now, or built anew with the same content.
+      // Known by version only until now (initial_versions), or rebuilt with the same content.
       const ResourcePtr held = state.accepted.Find(name);
       state.latest.Set(name, desired);
       if (held && held->version == desired->version) state.accepted.Set(name, desired);
@@ -304,9 +306,9 @@
   }
   if (known) {
     if (variant_ == Variant::kDelta || IsFullStateType(type)) {
-      sent.removed.insert(name);  // in the other variant by not being listed
+      sent.removed.insert(name);  // state of the world: removed by not being listed
     } else {
-      ForgetResource(state, name);  // this variant has no word for it
+      ForgetResource(state, name);  // state of the world can't express a removal of this type
     }
   } else if (variant_ == Variant::kDelta && state.names.contains(name) &&
              state.reported_missing.insert(name).second) {
@@ -324,7 +326,7 @@
       if (!snapshot.IsPlaceholder(type, name))
         CompareResource(type, name, DesiredResource(type, name, snapshot), sent);
     }
-    // Who is told of a change by the whole list is told of all.
+    // A full-state response lists everything, so everything has to be compared.
     if ((sent.changed.empty() && sent.removed.empty()) || variant_ == Variant::kDelta ||
         !IsFullStateType(type))
       return sent;
@@ -356,8 +358,8 @@
   state.needs_full_comparison = true;
 }
 
-// Routes and listeners wait until the clusters and endpoints that were sent before them are taken in.
-// Endpoints wait for nothing: a drain may be among them.
+// Routes and listeners wait until the clusters and endpoints sent before them are acknowledged. Endpoints
+// wait for nothing, because they may contain a drain.
 bool Session::WaitsForClusters(ResourceType type) const {
   if (type != ResourceType::kListener && type != ResourceType::kRoute) return false;
   return !StateOf(ResourceType::kCluster).unacknowledged.empty() ||
@@ -372,9 +374,9 @@
     if (!state.has_requested || WaitsForClusters(type)) continue;
     if (!state.needs_full_comparison && !state.must_respond && state.compared_serial == snapshot.serial())
       continue;
-    // Changes of a rejected answer go one at a time.
+    // Resources of a rejected response are sent one at a time.
     if (!state.retry_individually.empty() && !state.unacknowledged.empty()) continue;
-    std::optional<std::set<std::string>> names(std::in_place);  // that may have changed; nothing if all may
+    std::optional<std::set<std::string>> names(std::in_place);  // that may have changed; nullopt if all may
     if (state.needs_full_comparison || state.must_respond ||
         !snapshot.AddNamesChangedSince(state.compared_serial, type, *names))
       names.reset();
@@ -395,9 +397,9 @@
       std::erase_if(state.retry_individually,
                     [&](const std::string& name) { return !sent.changed.contains(name); });
       if (!state.retry_individually.empty()) {
-        const std::string alone = *state.retry_individually.begin();
-        const ResourcePtr resource = sent.changed[alone];
-        sent.changed = {{alone, resource}};
+        const std::string name = *state.retry_individually.begin();
+        const ResourcePtr resource = sent.changed[name];
+        sent.changed = {{name, resource}};
         state.needs_full_comparison = true;
       }
     }
@@ -405,7 +407,7 @@
     if (!is_full_state) LimitResponseSize(state, sent);
     if (is_full_state && !whole) whole = AllDesired(type, snapshot);
     if (is_full_state && state.retry_individually.empty()) {
-      // The whole list goes: if it is rejected, whatever of it was not accepted before may be to blame.
+      // The response lists everything: if it is rejected, any resource not accepted before may be the cause.
       for (const auto& [name, resource] : *whole) {
         const ResourcePtr held = state.accepted.Find(name);
         if (!held || held->version != resource->version) sent.changed[name] = resource;
--- a/src/xds/session.hpp
+++ b/src/xds/session.hpp
@@ -1,8 +1,9 @@
-// One proxy's ADS stream, in either variant of the protocol: what it has asked for, been sent, accepted and
-// rejected, and what it is to be sent next. Pure: no I/O, no clock; the caller moves the messages.
+// Protocol state of one proxy's ADS stream, in the state-of-the-world or the delta variant: what the proxy
+// has subscribed to, been sent, accepted and rejected, and what it is sent next. No I/O and no clock; the
+// caller moves the messages.
 //
-// Source: the published xDS protocol ("xDS REST and gRPC protocol"): versions, nonces, ACK and NACK,
-// wildcards, subscriptions, make-before-break order.
+// Implements the published xDS protocol ("xDS REST and gRPC protocol"): versions, nonces, ACK and NACK,
+// wildcards, subscriptions and make-before-break order.
 #ifndef OPALSWITCH_XDS_SESSION_HPP_
 #define OPALSWITCH_XDS_SESSION_HPP_
 
@@ -20,39 +21,41 @@
 
 namespace opalswitch::xds {
 
-// What a proxy may make grow.
+// Bounds on the state that one proxy can make the service keep.
 struct SessionLimits {
-  std::size_t max_subscriptions = 10000;      // subscriptions of one type; a collection counts for one
-  std::size_t max_initial_versions = 200000;  // versions that a proxy says it has
+  std::size_t max_subscriptions = 10000;  // names of one type; a collection counts as one
+  std::size_t max_initial_versions = 200000;
   std::size_t max_name_bytes = 512;
-  std::size_t max_unacknowledged_responses =
-      8;  // answers of one type without ACK or NACK: beyond them it is not told more
-  std::size_t max_response_bytes = 1 << 20;  // of resources in an answer that may be told in parts
+  std::size_t max_unacknowledged_responses = 8;  // of one type; no further ones are sent until an ACK or NACK
+  std::size_t max_response_bytes = 1 << 20;      // of the resources in a response that may be split
 };
 
-// A DiscoveryRequest, or a DeltaDiscoveryRequest.
+// A DiscoveryRequest or a DeltaDiscoveryRequest.
 struct XdsRequest {
   ResourceType type = ResourceType::kCluster;
-  std::string nonce;                                // of the answer that it acknowledges; empty if none
-  std::optional<std::string> error_detail;          // a NACK, with the proxy's reason
-  std::string version;                              // state of the world: the last that the proxy accepted
-  std::vector<std::string> names;                   // state of the world: all that it wants
+  std::string nonce;                                // of the response being acknowledged; empty if none
+  std::optional<std::string> error_detail;          // set in a NACK: the proxy's reason
+  std::string version;                              // state of the world: the last version accepted
+  std::vector<std::string> names;                   // state of the world: all subscribed names
   std::vector<std::string> subscribe, unsubscribe;  // delta
-  std::map<std::string, std::string> initial_versions;  // delta, first of a stream: what it has already
+  // Delta, first request of a stream: versions of the resources that the proxy already has, by name.
+  std::map<std::string, std::string> initial_versions;
 };
 
+// A DiscoveryResponse or a DeltaDiscoveryResponse.
 struct XdsResponse {
   ResourceType type = ResourceType::kCluster;
   std::string version;
   std::string nonce;
   std::vector<ResourcePtr> resources;
-  std::vector<std::string> removed;  // delta
+  std::vector<std::string> removed;  // delta: names
 };
 
+// A NACK of a proxy.
 struct Rejection {
   ResourceType type;
-  std::vector<std::string> names;  // of the changes in the rejected answer
-  std::string reason;              // as the proxy words it, shortened
+  std::vector<std::string> names;  // changed resources in the rejected response
+  std::string reason;              // the proxy's error message, truncated
 };
 
 class Session {
@@ -60,33 +63,35 @@
   enum class Variant { kStateOfTheWorld, kDelta };
   explicit Session(Variant variant, const SessionLimits& limits = SessionLimits());
 
-  // Takes a request. Gives one line if the proxy goes beyond its limits: its stream is to be ended.
+  // Processes a request. Returns an error message if the proxy exceeds a limit; the caller then closes its
+  // stream.
   std::optional<std::string> HandleRequest(const XdsRequest& request, const Snapshot& snapshot);
 
-  // The next answer that is due now; nothing if there is none. To be called until then, after each request
-  // and with each new snapshot.
+  // Returns the next response that can be sent now, or nullopt if there is none. The caller calls it after
+  // each request and with each new snapshot, until it returns nullopt.
   std::optional<XdsResponse> NextResponse(const Snapshot& snapshot);
 
-  // An answer that changes nothing, to renew leases; nothing if the proxy owes too many acknowledgements
-  // already.
+  // Returns a response without resources, which renews leases; nullopt if the proxy has not requested the
+  // type, or if half of the allowed number of responses are unacknowledged.
   std::optional<XdsResponse> MakeHeartbeat(ResourceType type);
 
-  // What the proxy is known to hold of a resource, as last accepted; null if nothing. One that it said it has
-  // from elsewhere has serial 0.
+  // Returns the version of a resource that the proxy last accepted; null if none. A version that the proxy
+  // has reported in initial_versions and that the snapshot does not contain has serial 0.
   ResourcePtr AcceptedResource(ResourceType type, const std::string& name) const {
     return StateOf(type).accepted.Find(name);
   }
-  // The oldest that the proxy may go by: what it has accepted, else the first that is on its way.
+  // Returns the oldest version that the proxy may be using: the accepted one, or else the first
+  // unacknowledged one; null if it was sent none.
   ResourcePtr OldestUsable(ResourceType type, const std::string& name) const;
   HeldResources AllOldestUsable(ResourceType type) const;
-  // Whether the proxy has accepted the newest version that it was sent.
+  // Whether the proxy has accepted the latest version of the resource that it was sent.
   bool HasAcceptedLatest(ResourceType type, const std::string& name) const;
-  // Whether it has answered all that it was sent.
+  // Whether the proxy has acknowledged or rejected every response of the type.
   bool HasAnsweredAll(ResourceType type) const { return StateOf(type).unacknowledged.empty(); }
-  // The proxy does not have the resource any more, though it was told: it is told again.
+  // Forgets that the resource was sent, because the proxy has dropped it since; it is sent again.
   void MarkForResend(ResourceType type, const std::string& name);
   bool IsSubscribed(ResourceType type, const std::string& name) const;
-  // Whether it is to be told of something and can't be, since it acknowledges nothing.
+  // Whether the last call of NextResponse held a response back because of too many unacknowledged ones.
   bool is_blocked() const { return is_blocked_; }
 
   std::uint64_t acks() const { return acks_; }
@@ -95,27 +100,29 @@
   const std::optional<Rejection>& last_rejection() const { return last_rejection_; }
 
  private:
+  // The changes in a response that was sent.
   struct SentResponse {
     std::string nonce;
     ResourceMap changed;
     std::set<std::string> removed;
   };
+  // Subscriptions and resources of one type.
   struct TypeState {
-    bool has_requested = false;  // it has asked for this type
+    bool has_requested = false;
     bool is_wildcard = false;
-    bool must_respond = false;  // an answer is owed even if nothing has changed
+    bool must_respond = false;  // the next response is sent even if nothing has changed
     std::set<std::string> names;
-    std::set<std::string> collections;        // of members, asked for whole
-    HeldResources accepted;                   // accepted
-    HeldResources latest;                     // the same, once all answers on their way are accepted
-    std::set<std::string> reported_missing;   // delta: asked for, not there, and told so
-    std::deque<SentResponse> unacknowledged;  // not acknowledged, oldest first
-    std::string latest_nonce;                 // nonce of the newest answer
-    std::map<std::string, std::string> rejected_versions;  // versions that are not sent again, by name
-    std::set<std::string> retry_individually;              // changes of a rejected answer, to be tried alone
-    std::set<std::string> route_clusters;                  // that accepted routes lead to, by any of them
-    std::uint64_t compared_serial = 0;                     // the snapshot that it was last held against
-    bool needs_full_comparison = true;                     // and more than that has changed since
+    std::set<std::string> collections;        // subscribed LEDS collections; each name ends in "/"
+    HeldResources accepted;                   // what the proxy has acknowledged
+    HeldResources latest;                     // `accepted` with all unacknowledged responses applied
+    std::set<std::string> reported_missing;   // delta: nonexistent names that were reported as removed
+    std::deque<SentResponse> unacknowledged;  // oldest first
+    std::string latest_nonce;
+    std::map<std::string, std::string> rejected_versions;  // by name; not sent again
+    std::set<std::string> retry_individually;  // resources of a rejected response, to be sent one at a time
+    std::set<std::string> route_clusters;      // clusters that the accepted route configurations refer to
+    std::uint64_t compared_serial = 0;         // snapshot that the state was last compared with
+    bool needs_full_comparison = true;         // the snapshot's list of changed names does not suffice
   };
 
   TypeState& StateOf(ResourceType type) { return states_[static_cast<std::size_t>(type)]; }
@@ -126,25 +133,26 @@
                                          const Snapshot& snapshot);
   void HandleAcknowledgement(TypeState& state, const XdsRequest& request, const Snapshot& snapshot);
   static void ForgetResource(TypeState& state, const std::string& name);
-  // All that the proxy does not want any more.
+  // Forgets all resources that the proxy is not subscribed to any more.
   void ForgetUnwanted(TypeState& state);
   static void ForgetCollection(TypeState& state, const std::string& collection);
-  // What the proxy will hold once it accepts an answer.
+  // Applies a response that was sent to `state.latest`.
   static void ApplyToLatest(TypeState& state, const SentResponse& sent);
   bool IsWanted(const TypeState& state, const std::string& name) const;
-  // What the proxy should hold of a name now, rejected versions left aside; null if nothing.
+  // Returns the resource that the proxy should have under a name now; null if none. For a rejected version or
+  // a placeholder, that is the one that it was last sent.
   ResourcePtr DesiredResource(ResourceType type, const std::string& name, const Snapshot& snapshot) const;
-  // The same of all names.
+  // The same for all subscribed names.
   ResourceMap AllDesired(ResourceType type, const Snapshot& snapshot) const;
-  // What one name adds to the next answer.
+  // Adds the difference between the desired and the latest version of one name to `sent`.
   void CompareResource(ResourceType type, const std::string& name, const ResourcePtr& desired,
                        SentResponse& sent);
-  // All that is to be told of a type: of these names, or of all if there are none to go by. `whole` gets what
-  // the proxy should hold, where that had to be found.
+  // Returns all changes of a type to be sent: of `names`, or of all names if it is nullopt. `whole` receives
+  // the desired resources if they had to be computed.
   SentResponse ComputeChanges(ResourceType type, const Snapshot& snapshot,
                               const std::optional<std::set<std::string>>& names,
                               std::optional<ResourceMap>& whole);
-  // Cuts an answer to what may be sent at once; the rest stays to be told.
+  // Truncates a response to max_response_bytes; the remaining changes are found by the next comparison.
   void LimitResponseSize(TypeState& state, SentResponse& sent) const;
   bool WaitsForClusters(ResourceType type) const;
 
