--- a/src/xds/stream_hub.cpp
+++ b/src/xds/stream_hub.cpp
@@ -7,42 +7,43 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr std::size_t kMaxDisconnectedProxies = 10000;  // proxies remembered after their streams broke
+constexpr std::size_t kMaxDisconnectedProxies = 10000;
 constexpr Millis kNeverExpires = std::numeric_limits<Millis>::infinity();
 
 }  // namespace
 
 bool StreamHub::OpenStream(StreamId stream, Session::Variant variant, Millis now) {
   if (streams_.size() >= options_.max_streams) {
-    ++closed_stream_statistics_.refused_streams;
+    ++totals_.refused_streams;
     return false;
   }
   streams_.try_emplace(stream, variant, options_.session_limits).first->second.last_heartbeat = now;
   return true;
 }
 
-// What of an answer is a lease, and until when: the time of sending counts, which is before the proxy's own.
-void StreamHub::RecordLeases(Stream& stream, OutgoingMessage& out, Millis now) const {
-  if (out.response.type != ResourceType::kEndpoint) return;
-  for (const ResourcePtr& resource : out.response.resources) {
-    const bool strict = strict_pools_.contains(resource->name);
-    stream.leases[resource->name] = strict ? now + options_.lease_duration : kNeverExpires;
-    if (strict) out.leased_names.push_back(resource->name);
+// Marks the leased resources of a response and records their expiry. The lease is counted from the time of
+// sending, which is earlier than the time of receipt from which the proxy counts it.
+void StreamHub::RecordLeases(Stream& stream, OutgoingMessage& message, Millis now) const {
+  if (message.response.type != ResourceType::kEndpoint) return;
+  for (const ResourcePtr& resource : message.response.resources) {
+    const bool is_strict = strict_pools_.contains(resource->name);
+    stream.leases[resource->name] = is_strict ? now + options_.lease_duration : kNeverExpires;
+    if (is_strict) message.leased_names.push_back(resource->name);
   }
-  for (const std::string& name : out.response.removed) stream.leases.erase(name);
+  for (const std::string& name : message.response.removed) stream.leases.erase(name);
 }
 
 void StreamHub::SendPending(StreamId id, Stream& stream, Millis now, std::vector<OutgoingMessage>& out) {
   const auto group = groups_.find(stream.group);
   if (!stream.is_identified || group == groups_.end()) return;
   while (auto response = stream.session.NextResponse(*group->second.published)) {
-    OutgoingMessage item;
-    item.stream = id;
-    item.response = std::move(*response);
-    RecordLeases(stream, item, now);
-    ++closed_stream_statistics_.pushes;
+    OutgoingMessage message;
+    message.stream = id;
+    message.response = std::move(*response);
+    RecordLeases(stream, message, now);
+    ++totals_.pushes;
     if (!stream.unacknowledged_since) stream.unacknowledged_since = now;
-    out.push_back(std::move(item));
+    out.push_back(std::move(message));
   }
 }
 
@@ -95,23 +96,27 @@
   }
   const auto group = groups_.find(stream.group);
   static const Snapshot kNothing{std::array<ResourceMap, kResourceTypeCount>()};
-  const std::uint64_t answered = stream.session.acks() + stream.session.nacks();
-  std::optional<XdsRequest> without;
+  const std::uint64_t answers_before = stream.session.acks() + stream.session.nacks();
+  std::optional<XdsRequest> adjusted;
   if (request.type == ResourceType::kEndpoint && !request.initial_versions.empty() &&
       !strict_pools_.empty()) {
-    without = request;
-    std::erase_if(without->initial_versions,
+    adjusted = request;
+    std::erase_if(adjusted->initial_versions,
                   [&](const auto& entry) { return strict_pools_.contains(entry.first); });
   }
-  const auto wrong = stream.session.HandleRequest(
-      without ? *without : request, group == groups_.end() ? kNothing : *group->second.published);
-  if (wrong) return CloseStream(id, *wrong, now, out), out;
-  if (stream.session.acks() + stream.session.nacks() != answered) {
+  const auto error = stream.session.HandleRequest(
+      adjusted ? *adjusted : request, group == groups_.end() ? kNothing : *group->second.published);
+  if (error) {
+    CloseStream(id, *error, now, out);
+    return out;
+  }
+  if (stream.session.acks() + stream.session.nacks() != answers_before) {
     stream.unacknowledged_since.reset();
-    // A proxy that came back goes by what it has accepted now, no longer by what it had when it was lost.
-    for (DisconnectedProxy& lost : disconnected_) {
-      if (lost.proxy != stream.node.id) continue;
-      std::erase_if(lost.leases, [&](const auto& entry) {
+    // A proxy that has reconnected uses what it has accepted now, no longer what it had when its stream
+    // closed.
+    for (DisconnectedProxy& proxy : disconnected_) {
+      if (proxy.proxy != stream.node.id) continue;
+      std::erase_if(proxy.leases, [&](const auto& entry) {
         return stream.session.AcceptedResource(ResourceType::kEndpoint, entry.first) != nullptr;
       });
     }
@@ -120,11 +125,11 @@
   return out;
 }
 
-void StreamHub::CloseStream(StreamId id, std::string why, Millis now, std::vector<OutgoingMessage>& out) {
-  OutgoingMessage item;
-  item.stream = id;
-  item.close_reason = std::move(why);
-  out.push_back(std::move(item));
+void StreamHub::CloseStream(StreamId id, std::string reason, Millis now, std::vector<OutgoingMessage>& out) {
+  OutgoingMessage message;
+  message.stream = id;
+  message.close_reason = std::move(reason);
+  out.push_back(std::move(message));
   OnStreamClosed(id, now);
 }
 
@@ -132,26 +137,26 @@
   const auto found = streams_.find(id);
   if (found == streams_.end()) return;
   Stream& stream = found->second;
-  closed_stream_statistics_.acks += stream.session.acks();
-  closed_stream_statistics_.nacks += stream.session.nacks();
-  closed_stream_statistics_.stale_nonces += stream.session.stale_nonces();
-  DisconnectedProxy lost;
-  lost.proxy = stream.node.id;
-  lost.group = stream.group;
-  for (const auto& [pool, until] : stream.leases) {
-    if (until > now) lost.leases[pool] = until;
+  totals_.acks += stream.session.acks();
+  totals_.nacks += stream.session.nacks();
+  totals_.stale_nonces += stream.session.stale_nonces();
+  DisconnectedProxy proxy;
+  proxy.proxy = stream.node.id;
+  proxy.group = stream.group;
+  for (const auto& [pool, expiry] : stream.leases) {
+    if (expiry > now) proxy.leases[pool] = expiry;
   }
-  lost.endpoints = stream.session.AllOldestUsable(ResourceType::kEndpoint);
-  lost.lb_endpoints = stream.session.AllOldestUsable(ResourceType::kLbEndpoint);
+  proxy.endpoints = stream.session.AllOldestUsable(ResourceType::kEndpoint);
+  proxy.lb_endpoints = stream.session.AllOldestUsable(ResourceType::kLbEndpoint);
   streams_.erase(found);
   std::erase_if(disconnected_, [&](const DisconnectedProxy& other) {
     return std::all_of(other.leases.begin(), other.leases.end(),
                        [&](const auto& entry) { return entry.second <= now; });
   });
-  if (lost.leases.empty()) return;
+  if (proxy.leases.empty()) return;
   if (disconnected_.size() >= kMaxDisconnectedProxies)
-    disconnected_.erase(disconnected_.begin());  // the oldest is the least likely to be there still
-  disconnected_.push_back(std::move(lost));
+    disconnected_.erase(disconnected_.begin());  // the oldest one is the least likely to be running still
+  disconnected_.push_back(std::move(proxy));
 }
 
 std::vector<StreamHub::OutgoingMessage> StreamHub::Tick(Millis now) {
@@ -171,81 +176,84 @@
     if (due.contains(stream.group)) SendPending(id, stream, now, out);
     if (now - stream.last_heartbeat < options_.heartbeat_interval) continue;
     stream.last_heartbeat = now;
-    OutgoingMessage beat;
-    beat.stream = id;
-    beat.is_heartbeat = true;
-    std::vector<std::string> over;
-    const bool answered = stream.session.HasAnsweredAll(ResourceType::kEndpoint) &&
-                          stream.session.HasAnsweredAll(ResourceType::kLbEndpoint);
-    for (auto& [pool, until] : stream.leases) {
-      if (until == kNeverExpires) continue;
-      if (until <= now) {  // it has let go of the list: once it listens again, it is told again
-        if (answered) over.push_back(pool);
+    OutgoingMessage heartbeat;
+    heartbeat.stream = id;
+    heartbeat.is_heartbeat = true;
+    std::vector<std::string> expired;
+    const bool has_answered_all = stream.session.HasAnsweredAll(ResourceType::kEndpoint) &&
+                                  stream.session.HasAnsweredAll(ResourceType::kLbEndpoint);
+    for (auto& [pool, expiry] : stream.leases) {
+      if (expiry == kNeverExpires) continue;
+      if (expiry <= now) {
+        // The proxy has dropped the endpoints; they are sent again once it answers.
+        if (has_answered_all) expired.push_back(pool);
         continue;
       }
-      // Members of the list that are not acknowledged yet: a drain may be among them.
+      // Unacknowledged LbEndpoints may contain a drain.
       if (!stream.session.HasAnsweredAll(ResourceType::kLbEndpoint)) continue;
-      // Only what the proxy holds for certain, and is the newest that it was told: a lease on a list from
-      // before a drain must run out. A change that waits for its like (weights) was not told yet, and is no
-      // reason to.
+      // Renew only if the proxy has accepted the latest version that it was sent: a lease on endpoints from
+      // before a drain has to expire. A delayed change (weights) has not been sent yet and does not prevent
+      // the renewal.
       if (!stream.session.HasAcceptedLatest(ResourceType::kEndpoint, pool)) continue;
-      beat.leased_names.push_back(pool);
+      heartbeat.leased_names.push_back(pool);
     }
-    for (const std::string& pool : over) {
+    for (const std::string& pool : expired) {
       stream.leases.erase(pool);
       stream.session.MarkForResend(ResourceType::kEndpoint, pool);
     }
-    if (!over.empty()) SendPending(id, stream, now, out);
-    if (beat.leased_names.empty()) continue;
+    if (!expired.empty()) SendPending(id, stream, now, out);
+    if (heartbeat.leased_names.empty()) continue;
     auto response = stream.session.MakeHeartbeat(ResourceType::kEndpoint);
     if (!response) continue;
-    for (const std::string& pool : beat.leased_names) stream.leases[pool] = now + options_.lease_duration;
-    beat.response = std::move(*response);
+    for (const std::string& pool : heartbeat.leased_names)
+      stream.leases[pool] = now + options_.lease_duration;
+    heartbeat.response = std::move(*response);
     if (!stream.unacknowledged_since) stream.unacknowledged_since = now;
-    out.push_back(std::move(beat));
+    out.push_back(std::move(heartbeat));
   }
   for (const StreamId id : unresponsive) CloseStream(id, "acknowledges nothing", now, out);
   return out;
 }
 
-std::vector<StreamHub::PendingProxy> StreamHub::PendingProxies(const std::string& pool,
-                                                               const std::vector<RequiredResource>& needs,
-                                                               Millis now) const {
-  std::vector<PendingProxy> waiting;
-  const auto look = [&](const std::string& proxy, const std::string& group, const auto& leases, auto oldest) {
+std::vector<StreamHub::PendingProxy> StreamHub::PendingProxies(
+    const std::string& pool, const std::vector<RequiredResource>& requirements, Millis now) const {
+  std::vector<PendingProxy> pending;
+  const auto check = [&](const std::string& proxy, const std::string& group, const auto& leases,
+                         auto oldest) {
     const auto lease = leases.find(pool);
     if (lease == leases.end() || lease->second <= now) return;
-    for (const RequiredResource& need : needs) {
-      if (need.group != group) continue;
-      const ResourcePtr may_use = oldest(need.type, need.name);
-      if (!may_use || may_use->serial >= need.serial) continue;
-      waiting.push_back({proxy, lease->second});
+    for (const RequiredResource& required : requirements) {
+      if (required.group != group) continue;
+      const ResourcePtr may_use = oldest(required.type, required.name);
+      if (!may_use || may_use->serial >= required.serial) continue;
+      pending.push_back({proxy, lease->second});
       return;
     }
   };
   for (const auto& [id, stream] : streams_) {
-    look(stream.node.id, stream.group, stream.leases,
-         [&](ResourceType type, const std::string& name) { return stream.session.OldestUsable(type, name); });
+    check(stream.node.id, stream.group, stream.leases, [&](ResourceType type, const std::string& name) {
+      return stream.session.OldestUsable(type, name);
+    });
   }
-  for (const DisconnectedProxy& lost : disconnected_) {
-    look(lost.proxy, lost.group, lost.leases, [&](ResourceType type, const std::string& name) {
-      return (type == ResourceType::kLbEndpoint ? lost.lb_endpoints : lost.endpoints).Find(name);
+  for (const DisconnectedProxy& proxy : disconnected_) {
+    check(proxy.proxy, proxy.group, proxy.leases, [&](ResourceType type, const std::string& name) {
+      return (type == ResourceType::kLbEndpoint ? proxy.lb_endpoints : proxy.endpoints).Find(name);
     });
   }
   if (strict_pools_.contains(pool) && now < started_at_ + options_.lease_duration)
-    waiting.push_back({"(leases of an earlier run)", started_at_ + options_.lease_duration});
-  return waiting;
+    pending.push_back({"(leases of an earlier run)", started_at_ + options_.lease_duration});
+  return pending;
 }
 
 StreamHub::Statistics StreamHub::statistics() const {
-  Statistics all = closed_stream_statistics_;
-  all.streams = streams_.size();
+  Statistics sum = totals_;
+  sum.streams = streams_.size();
   for (const auto& [id, stream] : streams_) {
-    all.acks += stream.session.acks();
-    all.nacks += stream.session.nacks();
-    all.stale_nonces += stream.session.stale_nonces();
+    sum.acks += stream.session.acks();
+    sum.nacks += stream.session.nacks();
+    sum.stale_nonces += stream.session.stale_nonces();
   }
-  return all;
+  return sum;
 }
 
 std::vector<StreamHub::ProxyStatus> StreamHub::ProxyStatuses() const {
--- a/src/xds/stream_hub.hpp
+++ b/src/xds/stream_hub.hpp
@@ -1,10 +1,9 @@
-// All proxies of one control service: which snapshot each sees, when it is told, and until when it may go by
-// what it was told. Pure: no I/O, no clock; the caller moves messages and says what time it is (milliseconds,
-// monotonic).
+// State of all proxies of one control service: which snapshot each proxy sees, when it is sent, and how long
+// the proxy may use what it was sent. No I/O and no clock; the caller moves the messages and passes the time
+// (monotonic, in ms).
 //
-// A list of endpoints is a lease where a pool is strict: it is sent with a time to live and renewed by
-// heartbeats, so that a proxy which can't be told of a drain stops using the list before the drain's time is
-// over.
+// The endpoints of a strict pool are sent with a time to live (a lease) that heartbeats renew. A proxy that
+// can't be reached with a drain thus stops using its endpoints before the drain's time limit.
 #ifndef OPALSWITCH_XDS_STREAM_HUB_HPP_
 #define OPALSWITCH_XDS_STREAM_HUB_HPP_
 
@@ -24,36 +23,37 @@
 
 namespace opalswitch::xds {
 
+// A proxy's identity, as in the Node message of its first request.
 struct ProxyNode {
   std::string id, cluster, zone;
 };
 
 struct StreamHubOptions {
-  std::size_t max_streams = 5000;  // streams at once; more are refused
-  Millis coalescing_delay = 200;   // changes that are not urgent wait for so long at the most, to go together
-  Millis lease_duration = 400;     // of a strict pool's endpoints
-  Millis heartbeat_interval = 100;  // a lease is renewed so often
-  Millis ack_timeout = 5000;        // a stream that acknowledges nothing for so long is ended
+  std::size_t max_streams = 5000;   // further ones are refused
+  Millis coalescing_delay = 200;    // longest delay of a change that is not urgent, to combine it with others
+  Millis lease_duration = 400;      // of a strict pool's endpoints
+  Millis heartbeat_interval = 100;  // between renewals of a stream's leases
+  Millis ack_timeout = 5000;        // a stream that acknowledges nothing for this long is closed
   SessionLimits session_limits;
 };
 
 class StreamHub {
  public:
   using StreamId = std::uint64_t;
-  // One message to one stream, or its end.
+  // A message to a stream, or its closing.
   struct OutgoingMessage {
     StreamId stream = 0;
     XdsResponse response;
-    bool is_heartbeat = false;  // renews the leases of the resources named, which are not sent again
-    std::vector<std::string> leased_names;    // resources of the response that carry the lease
-    std::optional<std::string> close_reason;  // the stream is to be ended, and why
+    bool is_heartbeat = false;                // renews the leases of leased_names, without their content
+    std::vector<std::string> leased_names;    // resources that are sent with a time to live
+    std::optional<std::string> close_reason;  // set: close the stream with this error message
   };
-  // A proxy that may still go by an older list.
+  // A proxy that may still use outdated endpoints.
   struct PendingProxy {
-    std::string proxy;        // its node id
-    Millis lease_expiry = 0;  // its lease runs out then; infinite for a pool that is not strict
+    std::string proxy;        // node id
+    Millis lease_expiry = 0;  // infinite for a pool that is not strict
   };
-  // What a proxy of a group must hold, at that serial or a later one, or not at all.
+  // Proxies of `group` must have accepted this resource with at least this serial, or not hold it at all.
   struct RequiredResource {
     std::string group;
     ResourceType type = ResourceType::kEndpoint;
@@ -61,39 +61,44 @@
     std::uint64_t serial = 0;
   };
 
-  // `started_at`: leases that an earlier process has given may run for one lease from then on.
+  // `started_at`: start of this process. Leases of an earlier process may be valid for one lease duration
+  // after it.
   explicit StreamHub(const StreamHubOptions& options, Millis started_at = 0)
       : options_(options), started_at_(started_at) {}
 
-  // Chooses what a proxy sees: the name of one of the groups. Asked once a stream.
+  // Sets the function that returns the name of a proxy's group. It is called at a stream's first request and
+  // in ReassignGroups.
   void SetGroupSelector(std::function<std::string(const ProxyNode&)> group_selector) {
     group_selector_ = std::move(group_selector);
   }
-  // Proxies are told again, with the next snapshot, of pools that become strict or cease to be.
+  // The endpoints of pools that become strict, or cease to be, are sent again with the next snapshot.
   void SetStrictPools(std::set<std::string> pools);
-  // Asks again of which group each proxy is; other groups than `ids` are no more. Proxies are told with what
-  // is published next.
+  // Selects each proxy's group anew and removes the groups that are not in `ids`. Proxies receive their
+  // group's resources with the next Publish.
   void ReassignGroups(const std::set<std::string>& ids);
-  // Replaces a group's snapshot. Urgent: proxies are told at once (drains and removals, and anything before
-  // the first).
+  // Replaces a group's snapshot and returns the messages to its proxies. An urgent one (drains, removals),
+  // and a group's first one, is sent at once; others are combined for up to coalescing_delay (see Tick).
   std::vector<OutgoingMessage> Publish(const std::string& group, std::shared_ptr<const Snapshot> snapshot,
                                        bool urgent, Millis now);
 
-  // False if there are too many streams.
+  // Returns false if there are too many streams.
   bool OpenStream(StreamId stream, Session::Variant variant, Millis now);
-  // The first request of a stream says who asks. A proxy that says it has a strict pool's list already is
-  // sent it again all the same: whether its lease still runs when the answer arrives, nobody knows.
+  // Processes a request; the first one of a stream identifies the proxy. A strict pool's endpoints are sent
+  // even to a proxy that already has that version, since its lease may expire before the response arrives.
   std::vector<OutgoingMessage> HandleRequest(StreamId stream, const ProxyNode& node,
                                              const XdsRequest& request, Millis now);
   void OnStreamClosed(StreamId stream, Millis now);
 
-  // What is due by now: heartbeats, and changes that have waited for their like.
+  // Returns the messages that are due: heartbeats, combined changes, and closings of streams that do not
+  // acknowledge.
   std::vector<OutgoingMessage> Tick(Millis now);
 
-  // Proxies that may still go by an older list of this pool than they need to: not acknowledged, or lost with
-  // a lease that runs. Needs of groups that a proxy is not of do not matter.
+  // Returns the proxies that may still use older endpoints of the pool than `requirements` demand: connected
+  // ones that have not acknowledged, and disconnected ones whose lease has not expired. A requirement applies
+  // only to proxies of its group.
   std::vector<PendingProxy> PendingProxies(const std::string& pool,
-                                           const std::vector<RequiredResource>& needs, Millis now) const;
+                                           const std::vector<RequiredResource>& requirements,
+                                           Millis now) const;
 
   struct Statistics {
     std::uint64_t streams = 0, acks = 0, nacks = 0, stale_nonces = 0, pushes = 0, refused_streams = 0;
@@ -102,7 +107,7 @@
   struct ProxyStatus {
     ProxyNode node;
     std::string group;
-    bool settled = true;  // it has answered all that it was sent
+    bool settled = true;  // the proxy has answered every response
     std::optional<Rejection> last_rejection;
     std::uint64_t nacks = 0;
   };
@@ -110,31 +115,31 @@
 
  private:
   struct Group {
-    std::shared_ptr<const Snapshot> published;  // what its proxies are told now
-    std::shared_ptr<const Snapshot> pending;    // what they will be, with changes that are not urgent
-    Millis pending_since = 0;                   // the oldest of these
+    std::shared_ptr<const Snapshot> published;  // what its proxies are sent now
+    std::shared_ptr<const Snapshot> pending;    // the next one; null if no change is delayed
+    Millis pending_since = 0;                   // time of the oldest delayed change
   };
   struct Stream {
     explicit Stream(Session::Variant variant, const SessionLimits& limits) : session(variant, limits) {}
     Session session;
-    bool is_identified = false;
+    bool is_identified = false;  // its first request has arrived
     ProxyNode node;
     std::string group;
-    std::map<std::string, Millis> leases;  // by pool: until when its endpoints may be used
+    std::map<std::string, Millis> leases;  // by pool: when its endpoints expire
     Millis last_heartbeat = 0;
-    std::optional<Millis> unacknowledged_since;  // it owes acknowledgements, and has given none since
+    std::optional<Millis> unacknowledged_since;  // set while responses wait for an ACK or NACK
   };
-  // A proxy whose stream broke: it may use what it has for a while.
+  // A proxy whose stream has closed and which may go on using its endpoints until the leases expire.
   struct DisconnectedProxy {
     std::string proxy;
     std::string group;
     std::map<std::string, Millis> leases;   // by pool
-    HeldResources endpoints, lb_endpoints;  // that it may go by
+    HeldResources endpoints, lb_endpoints;  // the oldest versions that it may be using
   };
 
   void SendPending(StreamId id, Stream& stream, Millis now, std::vector<OutgoingMessage>& out);
-  void RecordLeases(Stream& stream, OutgoingMessage& out, Millis now) const;
-  void CloseStream(StreamId id, std::string why, Millis now, std::vector<OutgoingMessage>& out);
+  void RecordLeases(Stream& stream, OutgoingMessage& message, Millis now) const;
+  void CloseStream(StreamId id, std::string reason, Millis now, std::vector<OutgoingMessage>& out);
 
   const StreamHubOptions options_;
   const Millis started_at_;
@@ -143,7 +148,7 @@
   std::map<std::string, Group> groups_;
   std::map<StreamId, Stream> streams_;
   std::vector<DisconnectedProxy> disconnected_;
-  Statistics closed_stream_statistics_;  // of streams that have ended
+  Statistics totals_;  // pushes and refused streams of all streams; the other counts of closed streams alone
 };
 
 }  // namespace opalswitch::xds
