--- a/src/xds/load_aggregator.cpp
+++ b/src/xds/load_aggregator.cpp
@@ -5,11 +5,10 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr std::size_t kMaxReportersPerHost =
-    32;  // proxies that are heard on one host; the longest silent makes room
-constexpr Millis kReportLifetimeMs = 10000;     // a report is heard for so long
-constexpr double kMinRequestsPerReport = 5;     // in a report: with less it is heard only if nobody has more
-constexpr double kReportSmoothingFactor = 0.3;  // of a new report in what Little's law is applied to
+constexpr std::size_t kMaxReportersPerHost = 32;  // beyond it, the oldest report is dropped
+constexpr Millis kReportLifetimeMs = 10000;
+constexpr double kMinRequestsPerReport = 5;     // reports with fewer count only if no proxy has more
+constexpr double kReportSmoothingFactor = 0.3;  // for the inputs of Little's law
 
 double LowerMedian(std::vector<double>& values) {
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) / 2);
@@ -21,7 +20,7 @@
 
 void LoadAggregator::AddReport(const std::string& host, const std::string& proxy, const EndpointLoad& load,
                                Millis interval, Millis now) {
-  if (load.served + load.failed <= 0) return;  // nothing was seen
+  if (load.served + load.failed <= 0) return;
   auto& reports = hosts_[host];
   const auto [entry, added] = reports.try_emplace(proxy);
   ProxyReport& report = entry->second;
@@ -31,7 +30,7 @@
   report.responses_per_ms += smoothing_factor * (responses_per_ms - report.responses_per_ms);
   report.served = load.served;
   report.failed = load.failed;
-  // Little's law: what is out is what comes in a second times the seconds that each takes.
+  // Little's law: requests in flight = completion rate * latency.
   report.latency = load.latency > 0       ? load.latency
                    : report.in_flight > 0 ? report.in_flight / report.responses_per_ms
                                           : 0;
--- a/src/xds/load_aggregator.hpp
+++ b/src/xds/load_aggregator.hpp
@@ -1,9 +1,9 @@
-// What several proxies say of one pool's hosts, brought to one estimate for each host. Pure: no I/O, no
-// clock.
+// Combines the load reports of several proxies on a pool's hosts into one estimate for each host. No I/O and
+// no clock.
 //
-// A host's failing share and latency are the lower median of what the proxies report of it: while less than
-// half of the proxies that report on a host lie (of two: one), no lie makes a healthy host look worse than
-// some honest proxy saw it.
+// A host's failure fraction and latency are the lower median of the proxies' values. As long as fewer than
+// half of the proxies that report on a host send false values (of two: one), no false value makes a healthy
+// host look worse than some correct report on it.
 #ifndef OPALSWITCH_XDS_LOAD_AGGREGATOR_HPP_
 #define OPALSWITCH_XDS_LOAD_AGGREGATOR_HPP_
 
@@ -21,23 +21,25 @@
 class LoadAggregator {
  public:
   struct HostEstimate {
-    double failure_fraction = 0;  // share of its requests
-    Millis latency = 0;           // 0 = nobody can tell
-    Millis updated_at = 0;        // of the newest report in it
+    double failure_fraction = 0;  // failed requests / all requests
+    Millis latency = 0;           // 0 = unknown
+    Millis updated_at = 0;        // time of the newest report
     std::size_t reporter_count = 0;
   };
 
-  // `load` is one proxy's newest report on a host, of the `interval` that ended at `now`.
+  // Adds one proxy's report on a host, which covers the `interval` that ended at `now`. A report without
+  // completed requests is ignored.
   void AddReport(const std::string& host, const std::string& proxy, const EndpointLoad& load, Millis interval,
                  Millis now);
-  // Nothing if no proxy has told of the host since `since`, or not lately.
+  // Returns nullopt if no report on the host was received at or after `since` and within the report lifetime.
   std::optional<HostEstimate> Estimate(const std::string& host, Millis since, Millis now) const;
+  // Discards all reports on a host.
   void Forget(const std::string& host) { hosts_.erase(host); }
 
  private:
   struct ProxyReport {
     double served = 0, failed = 0;
-    double in_flight = 0, responses_per_ms = 0;  // smoothed: in progress, and answers per ms
+    double in_flight = 0, responses_per_ms = 0;  // smoothed
     Millis latency = 0;
     Millis received_at = 0;
   };
--- a/src/xds/load_report.cpp
+++ b/src/xds/load_report.cpp
@@ -10,7 +10,7 @@
 
 namespace stats = envoy::config::endpoint::v3;
 
-constexpr double kMaxRequestCount = 1e9;  // requests in a report
+constexpr double kMaxRequestCount = 1e9;  // in one report
 constexpr Millis kMinIntervalMs = 10, kMaxIntervalMs = 600000;
 
 double CapCount(std::uint64_t count) { return std::min(static_cast<double>(count), kMaxRequestCount); }
--- a/src/xds/load_report.hpp
+++ b/src/xds/load_report.hpp
@@ -1,5 +1,5 @@
-// What proxies say of the hosts that they send to (load_stats.v3), as numbers that can be trusted to be
-// numbers. Pure. Source: the published LRS protocol, envoy.service.load_stats.v3.
+// Parses and sanitizes proxies' load reports (LRS). No I/O. Follows the published protocol,
+// envoy.service.load_stats.v3.
 #ifndef OPALSWITCH_XDS_LOAD_REPORT_HPP_
 #define OPALSWITCH_XDS_LOAD_REPORT_HPP_
 
@@ -16,18 +16,18 @@
 
 namespace opalswitch::xds {
 
-// Of one endpoint, since the report before.
+// Load of one endpoint since the previous report.
 struct EndpointLoad {
-  std::string address;  // "10.0.0.1:80"; empty where a proxy tells of localities alone
+  std::string address;  // "10.0.0.1:80"; empty if the proxy reports localities only
   std::string zone, sub_zone;
   double served = 0, failed = 0;
-  double in_progress = 0;  // at the moment of the report
-  Millis latency = 0;      // mean, where the proxy measures it; 0 = not told
+  double in_progress = 0;  // when the report was made
+  Millis latency = 0;      // mean; 0 = not reported
 };
 
 struct LoadReport {
   std::string pool;
-  Millis interval = 0;  // that the numbers are of
+  Millis interval = 0;  // that the report covers
   std::vector<EndpointLoad> endpoints;
 };
 
@@ -36,9 +36,8 @@
   std::size_t max_endpoints = 20000;  // over all clusters of one report
 };
 
-// Numbers that no proxy can have had are cut to ones that it could; what is beyond the limits is left out.
-// Of a locality without endpoints of its own, one entry without an address is made. The mean latency is read
-// from the load metrics "latency_ms" or "rtt_ms".
+// Clamps implausible values and drops what exceeds the limits. A locality without endpoints of its own gives
+// one entry without an address. The mean latency is read from the load metrics "latency_ms" or "rtt_ms".
 std::vector<LoadReport> ParseLoadReports(const envoy::service::load_stats::v3::LoadStatsRequest& request,
                                          const LoadReportLimits& limits = LoadReportLimits());
 
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -21,7 +21,7 @@
 namespace hcm = envoy::extensions::filters::network::http_connection_manager::v3;
 namespace route = envoy::config::route::v3;
 
-// The same bytes for the same message: versions are made of them.
+// Equal messages give equal bytes; versions are hashes of them.
 std::string SerializeDeterministically(const google::protobuf::Message& message) {
   std::string bytes;
   google::protobuf::io::StringOutputStream stream(&bytes);
@@ -62,15 +62,15 @@
   cluster.set_lb_policy(options.for_grpc_clients ? envoy::config::cluster::v3::Cluster::ROUND_ROBIN
                                                  : envoy::config::cluster::v3::Cluster::LEAST_REQUEST);
   if (pool.settings.max_in_flight > 0) {
-    auto* const bounds = cluster.mutable_circuit_breakers()->add_thresholds();
-    bounds->mutable_max_requests()->set_value(static_cast<std::uint32_t>(pool.settings.max_in_flight));
+    auto* const thresholds = cluster.mutable_circuit_breakers()->add_thresholds();
+    thresholds->mutable_max_requests()->set_value(static_cast<std::uint32_t>(pool.settings.max_in_flight));
   }
   if (options.requests_load_reports) cluster.mutable_lrs_server()->mutable_self();
   return cluster;
 }
 
-// Whether a route can take a request whose host falls to the virtual host of `domain`: that host is the
-// domain itself, or lies under it and under no narrower one.
+// Whether a route can match a request that the virtual host of `domain` handles: one of the route's host
+// patterns is that domain, or a wildcard that covers it, or it has none.
 bool RouteAppliesToDomain(const routing::Route& match, const std::string& domain) {
   if (match.hosts.empty()) return true;
   return std::any_of(match.hosts.begin(), match.hosts.end(), [&](const std::string& pattern) {
@@ -84,19 +84,20 @@
   const config::Pool& pool = services.pools[rule.pool];
   to->set_name(rule.match.id);
   to->mutable_route()->set_cluster(pool.id);
-  if (rule.class_index < 0) return;  // the client states its class: the proxy can't tell what may run twice
+  // If the client names the class, the proxy can't know whether a retry is safe.
+  if (rule.class_index < 0) return;
   const ClassSettings& cls = pool.settings.classes[static_cast<std::size_t>(rule.class_index)];
   SetDuration(to->mutable_route()->mutable_timeout(), cls.deadline);
   if (pool.settings.max_attempts < 2) return;
   auto* const retry = to->mutable_route()->mutable_retry_policy();
-  // What may have run is sent again only where its class is safe. A connection that never came up carried
-  // nothing.
+  // A request that may have run is retried only if its class is safe. One whose connection failed has not
+  // been sent.
   retry->set_retry_on(cls.effect == Effect::kSafe ? "5xx,reset,connect-failure,refused-stream"
                                                   : "connect-failure");
   retry->mutable_num_retries()->set_value(static_cast<std::uint32_t>(pool.settings.max_attempts - 1));
 }
 
-// One of the file's routes as the routes of a virtual host: an alternative each for paths, methods and
+// Adds a route of the file to a virtual host: one xDS route for each combination of its paths, methods and
 // classes.
 void AddRoutes(route::VirtualHost* host, const config::Services& services, const config::RouteRule& rule,
                bool is_visible) {
@@ -111,7 +112,7 @@
       paths.push_back({false, path.text});
     } else if (path.text.empty()) {
       paths.push_back({true, "/"});
-    } else {  // on segment borders
+    } else {  // a prefix matches whole path segments
       paths.push_back({false, path.text});
       paths.push_back({true, path.text + "/"});
     }
@@ -165,7 +166,8 @@
     const auto& listeners = rule.match.listeners;
     if (!listeners.empty() && std::find(listeners.begin(), listeners.end(), listener.id) == listeners.end())
       continue;
-    // A route that leads nowhere for these proxies still takes its requests: no later one may get them.
+    // A route to a pool that these proxies don't see still matches (it answers 404): no later route may get
+    // its requests.
     rules.push_back(&rule);
     for (const std::string& host : rule.match.hosts) {
       if (std::find(domains.begin(), domains.end(), host) == domains.end()) domains.push_back(host);
@@ -219,20 +221,20 @@
 
 namespace {
 
-// The resource, or one of before that says the same.
+// Returns `before` if it has the same version, or else `made`.
 ResourcePtr ReuseIfUnchanged(ResourcePtr made, const ResourcePtr& before) {
   return before && before->version == made->version ? before : made;
 }
 
-// RFC 3986's unreserved characters stay, for a name in a URI.
+// Percent-encodes all characters but the unreserved ones (RFC 3986, section 2.3).
 std::string PercentEncode(const std::string& text) {
   std::string out;
   for (const char c : text) {
-    const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                       c == '-' || c == '.' || c == '_' || c == '~';
+    const bool is_unreserved = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                               c == '-' || c == '.' || c == '_' || c == '~';
     char encoded[4];
     std::snprintf(encoded, sizeof encoded, "%%%02X", static_cast<unsigned char>(c));
-    out += plain ? std::string(1, c) : encoded;
+    out += is_unreserved ? std::string(1, c) : encoded;
   }
   return out;
 }
@@ -247,11 +249,11 @@
 
 envoy::config::endpoint::v3::ClusterLoadAssignment MakeLoadAssignment(const std::string& pool,
                                                                       const ResourceOptions& options) {
-  envoy::config::endpoint::v3::ClusterLoadAssignment list;
-  list.set_cluster_name(pool);
+  envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
+  assignment.set_cluster_name(pool);
   if (options.endpoint_stale_after > 0)
-    SetDuration(list.mutable_policy()->mutable_endpoint_stale_after(), options.endpoint_stale_after);
-  return list;
+    SetDuration(assignment.mutable_policy()->mutable_endpoint_stale_after(), options.endpoint_stale_after);
+  return assignment;
 }
 
 void FillLbEndpoint(envoy::config::endpoint::v3::LbEndpoint* to, const EndpointAssignment& endpoint) {
@@ -288,15 +290,15 @@
 
 ResourcePtr BuildLedsAssignment(const std::string& pool, const std::set<std::string>& zones,
                                 const ResourceOptions& options, const ResourcePtr& before) {
-  auto list = MakeLoadAssignment(pool, options);
+  auto assignment = MakeLoadAssignment(pool, options);
   for (const std::string& zone : zones) {
-    auto* const locality = list.add_endpoints();
+    auto* const locality = assignment.add_endpoints();
     locality->mutable_locality()->set_zone(zone);
     auto* const leds = locality->mutable_leds_cluster_locality_config();
     SetAds(leds->mutable_leds_config());
     leds->set_leds_collection_name(CollectionName(pool, zone) + "*");
   }
-  return ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(list)), before);
+  return ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(assignment)), before);
 }
 
 EndpointResources BuildEndpointResources(const std::string& pool,
@@ -315,46 +317,49 @@
     resources.load_assignment = BuildLedsAssignment(pool, zones, options, before.load_assignment);
     return resources;
   }
-  auto all = MakeLoadAssignment(pool, options);
-  // In an order of their own, by zone. gRPC clients go by the weights of localities alone: each endpoint is
-  // one to them.
-  std::map<std::pair<std::string, std::string>, std::map<std::string, const EndpointAssignment*>> places;
+  auto assignment = MakeLoadAssignment(pool, options);
+  // Sorted by zone and id, whatever the order of the input. For gRPC clients, each endpoint is a locality
+  // (see ResourceOptions).
+  std::map<std::pair<std::string, std::string>, std::map<std::string, const EndpointAssignment*>> localities;
   for (const EndpointAssignment& endpoint : endpoints) {
-    places[{endpoint.zone, options.for_grpc_clients ? endpoint.id : ""}][endpoint.id] = &endpoint;
+    localities[{endpoint.zone, options.for_grpc_clients ? endpoint.id : ""}][endpoint.id] = &endpoint;
   }
-  for (const auto& [place, members] : places) {
-    auto* const locality = all.add_endpoints();
-    locality->mutable_locality()->set_zone(place.first);
-    locality->mutable_locality()->set_sub_zone(place.second);
-    std::uint64_t sum = 0;
-    for (const auto& [id, endpoint] : members) {
+  for (const auto& [locality_id, endpoints_by_id] : localities) {
+    auto* const locality = assignment.add_endpoints();
+    locality->mutable_locality()->set_zone(locality_id.first);
+    locality->mutable_locality()->set_sub_zone(locality_id.second);
+    std::uint64_t total_weight = 0;
+    for (const auto& [id, endpoint] : endpoints_by_id) {
       FillLbEndpoint(locality->add_lb_endpoints(), *endpoint);
-      if (endpoint->health == EndpointHealth::kHealthy) sum += std::max(1u, endpoint->weight);
+      if (endpoint->health == EndpointHealth::kHealthy) total_weight += std::max(1u, endpoint->weight);
     }
-    if (options.for_grpc_clients && sum == 0) {  // else a share of the calls would find nobody there
-      all.mutable_endpoints()->RemoveLast();
+    // Calls that are sent to a locality without healthy endpoints would fail.
+    if (options.for_grpc_clients && total_weight == 0) {
+      assignment.mutable_endpoints()->RemoveLast();
       continue;
     }
     locality->mutable_load_balancing_weight()->set_value(
-        static_cast<std::uint32_t>(std::clamp<std::uint64_t>(sum, 1, 0x7fffffff)));
+        static_cast<std::uint32_t>(std::clamp<std::uint64_t>(total_weight, 1, 0x7fffffff)));
   }
   resources.load_assignment =
-      ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(all)), before.load_assignment);
+      ReuseIfUnchanged(MakeResource(pool, SerializeDeterministically(assignment)), before.load_assignment);
   return resources;
 }
 
 std::array<ResourceMap, kResourceTypeCount> BuildRoutingResources(const config::Services& services,
                                                                   const ResourceOptions& options) {
   std::array<ResourceMap, kResourceTypeCount> all;
-  const auto of = [&](ResourceType type) -> ResourceMap& { return all[static_cast<std::size_t>(type)]; };
+  const auto resources_of = [&](ResourceType type) -> ResourceMap& {
+    return all[static_cast<std::size_t>(type)];
+  };
   for (const config::Pool& pool : services.pools) {
     if (options.pools.empty() || options.pools.contains(pool.id))
-      AddResource(of(ResourceType::kCluster), pool.id, ToCluster(pool, options));
+      AddResource(resources_of(ResourceType::kCluster), pool.id, ToCluster(pool, options));
   }
   for (const config::Listener& listener : services.listeners) {
     if (!options.listeners.empty() && !options.listeners.contains(listener.id)) continue;
-    AddListener(of(ResourceType::kListener), listener, options);
-    AddRouteConfiguration(of(ResourceType::kRoute), services, listener, options);
+    AddListener(resources_of(ResourceType::kListener), listener, options);
+    AddRouteConfiguration(resources_of(ResourceType::kRoute), services, listener, options);
   }
   return all;
 }
--- a/src/xds/resources.hpp
+++ b/src/xds/resources.hpp
@@ -1,5 +1,6 @@
-// The operators' file and the present assignments of endpoints, as xDS resources: listeners and their routes,
-// a cluster and its endpoints for each pool. Pure: the same inputs give the same bytes and versions.
+// Builds xDS resources from the operators' file and the current endpoint assignments: listeners with their
+// route configurations, and a cluster with its endpoints for each pool. No I/O; the same inputs give the same
+// bytes and versions.
 #ifndef OPALSWITCH_XDS_RESOURCES_HPP_
 #define OPALSWITCH_XDS_RESOURCES_HPP_
 
@@ -16,59 +17,62 @@
 
 namespace opalswitch::xds {
 
-enum class EndpointHealth { kHealthy, kEjected, kDraining };  // kOut: listed, and not to be used
+// kEjected: listed, but not to be used (UNHEALTHY in EDS).
+enum class EndpointHealth { kHealthy, kEjected, kDraining };
 
+// One host as proxies are to use it.
 struct EndpointAssignment {
   std::string id, zone;
   std::string address;  // an IP address
   std::uint16_t port = 0;
-  std::uint32_t weight = 1;  // over all of the pool's; at least 1
+  std::uint32_t weight = 1;  // relative to the pool's other endpoints; at least 1
   EndpointHealth health = EndpointHealth::kHealthy;
 };
 
-// A pool's endpoints, by its id.
+// Endpoints by pool id.
 using EndpointAssignments = std::map<std::string, std::vector<EndpointAssignment>>;
 
 struct ResourceOptions {
-  // The proxies are gRPC clients: listeners by their names, without addresses, and endpoints as localities of
-  // their own, for these clients know the weights of localities alone.
+  // The proxies are gRPC clients: listeners are API listeners without addresses, and each endpoint is a
+  // locality of its own, since these clients use the weights of localities only.
   bool for_grpc_clients = false;
-  bool uses_leds = false;           // lists of endpoints lead to collections of members (LEDS)
-  Millis endpoint_stale_after = 0;  // endpoints are not to be used for longer without news; 0 = for ever
+  bool uses_leds = false;           // ClusterLoadAssignments refer to LEDS collections
+  Millis endpoint_stale_after = 0;  // time after which unrenewed endpoints may not be used; 0 = never
   bool requests_load_reports = true;
-  std::set<std::string> pools, listeners;  // that the proxies are told of; empty = all
+  std::set<std::string> pools, listeners;  // that the proxies may see; empty = all
 };
 
-// One pool's endpoints: their list, and, where the list leads to them, its members.
+// The endpoint resources of one pool. lb_endpoints is empty unless LEDS is used.
 struct EndpointResources {
   ResourcePtr load_assignment;
   ResourceMap lb_endpoints;
 };
 
-// Routes follow the file's order within each host pattern; see docs/design/02-xds.md.
+// Builds all resources. Routes keep the file's order within each host pattern; see docs/design/02-xds.md.
 std::shared_ptr<const Snapshot> BuildSnapshot(const config::Services& services,
                                               const EndpointAssignments& assignments,
                                               const ResourceOptions& options);
 
-// The endpoints of one pool alone, for a change that touches nothing else. What has the same content in
-// `before` is taken from there.
+// Builds the endpoint resources of one pool, for a change that affects nothing else. Resources whose content
+// equals that in `before` are reused from there.
 EndpointResources BuildEndpointResources(const std::string& pool,
                                          const std::vector<EndpointAssignment>& endpoints,
                                          const ResourceOptions& options,
                                          const EndpointResources& before = {});
 
-// In the place of a pool's endpoints that are not known yet: proxies keep what they have.
+// Creates placeholders for a pool whose endpoints are not known yet: proxies keep those that they have.
 EndpointResources MakePlaceholderEndpoints(const std::string& pool, const ResourceOptions& options);
 
-// The name of an endpoint as a member of its collection, and the member.
+// The name of an endpoint in its LEDS collection, and its LbEndpoint resource. `before`: the previous
+// resource, which is reused if its content is the same; may be null.
 std::string LbEndpointName(const std::string& pool, const EndpointAssignment& endpoint);
 ResourcePtr BuildLbEndpoint(const std::string& pool, const EndpointAssignment& endpoint,
                             const ResourcePtr& before);
-// The list that leads to the collections of these zones.
+// Builds the ClusterLoadAssignment that refers to the LEDS collections of these zones.
 ResourcePtr BuildLedsAssignment(const std::string& pool, const std::set<std::string>& zones,
                                 const ResourceOptions& options, const ResourcePtr& before);
 
-// The clusters of all pools, and the listeners and routes to them.
+// Builds the clusters of all pools, and the listeners and route configurations that lead to them.
 std::array<ResourceMap, kResourceTypeCount> BuildRoutingResources(const config::Services& services,
                                                                   const ResourceOptions& options);
 
