--- a/src/xds/load_aggregator.hpp
+++ b/src/xds/load_aggregator.hpp
@@ -1,9 +1,9 @@
 // Combines the load reports of several proxies on a pool's hosts into one estimate for each host. No I/O and
 // no clock.
 //
-// A host's failure fraction and latency are the lower median of the proxies' values. As long as fewer than
-// half of the proxies that report on a host send false values (of two: one), no false value makes a healthy
-// host look worse than some correct report on it.
+// A host's failure fraction and latency are the lower median of the proxies' values. As long as no more
+// than half of the proxies that report on a host send false values, these don't make a healthy host look
+// worse than some correct report on it.
 #ifndef OPALSWITCH_XDS_LOAD_AGGREGATOR_HPP_
 #define OPALSWITCH_XDS_LOAD_AGGREGATOR_HPP_
 
--- a/src/xds/pool_decider.cpp
+++ b/src/xds/pool_decider.cpp
@@ -10,15 +10,15 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr double kMaxSampleCredit = 20;       // samples that one host's reports are good for, at once
-constexpr int kMaxSamplesPerTick = 200;       // of one tick
-constexpr Millis kMaxSampleLatencyMs = 5000;  // a sample that takes longer ends then
-constexpr Millis kProbeTimeoutMs = 5000;  // without a report on a host that is tried: the trial is given up
-constexpr Millis kSampleDeadlineMs = 20000;              // that a sample's client would wait
-constexpr double kTypicalLatencySmoothingFactor = 0.05;  // of a host's latency in the usual one
-constexpr double kMeanWeight = 100;                      // the usual host's weight
-constexpr double kProbeWeightFraction = 0.01;            // of the pool's weight, to a host on trial
-constexpr std::size_t kMinHostsPerEjectedHost = 2;       // at the most one host in so many is left out
+constexpr double kMaxSampleCredit = 20;  // per host
+constexpr int kMaxSamplesPerTick = 200;
+constexpr Millis kMaxSampleLatencyMs = 5000;  // longer latencies are cut to it
+constexpr Millis kProbeTimeoutMs = 5000;  // a probe without a report on its host ends as not sent after it
+constexpr Millis kSampleDeadlineMs = 20000;
+constexpr double kTypicalLatencySmoothingFactor = 0.05;
+constexpr double kMeanWeight = 100;                 // mean weight of the endpoints that are not ejected
+constexpr double kProbeWeightFraction = 0.01;       // of the pool's total weight, for a probed host
+constexpr std::size_t kMinHostsPerEjectedHost = 2;  // at most one host in this many is ejected
 
 Settings SampleSettings(const Settings& pool) {
   Settings settings;
@@ -41,41 +41,42 @@
     : policy_(SampleSettings(settings), seed) {}
 
 void PoolDecider::UpdateMembership(const gateway::HostList& list, Millis now) {
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const gateway::Host& host : list.hosts) {
     const std::string& id = host.server.id;
-    named.insert(id);
+    listed.insert(id);
     if (host.server.state == ServerState::kGone) {
       RemoveHost(id);
       continue;
     }
     const auto [entry, added] = hosts_.try_emplace(id);
     HostRecord& record = entry->second;
-    const bool other = added || host.server.started_at > record.host.server.started_at ||
-                       host.address != record.host.address;
+    const bool is_new_process = added || host.server.started_at > record.host.server.started_at ||
+                                host.address != record.host.address;
     if (!added && host.address != record.host.address) RemoveAddress(id, record);
-    if (other) {  // nothing that was said of another process holds for this one
+    if (is_new_process) {  // earlier reports do not apply to it
       load_aggregator_.Forget(id);
       record = HostRecord();
       record.replaced_at = now;
     }
     record.host = host;
-    // Of two at one address the one that is up counts: the other drains, or is gone.
+    // If two hosts have the same address, reports are matched to the one that is up: the other is draining or
+    // gone.
     const auto [place, free] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
     if (!free && host.server.state == ServerState::kUp) place->second = id;
   }
   if (list.complete) {
-    std::vector<std::string> left;
+    std::vector<std::string> removed;
     for (const auto& [id, record] : hosts_) {
-      if (!named.contains(id)) left.push_back(id);
+      if (!listed.contains(id)) removed.push_back(id);
     }
-    for (const std::string& id : left) RemoveHost(id);
+    for (const std::string& id : removed) RemoveHost(id);
   }
-  MembershipUpdate news;
-  news.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
-  for (const gateway::Host& host : list.hosts) news.servers.push_back(host.server);
+  MembershipUpdate update;
+  update.kind = list.complete ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kDelta;
+  for (const gateway::Host& host : list.hosts) update.servers.push_back(host.server);
   std::vector<Action> actions;
-  policy_.Handle(now, news, actions);
+  policy_.Handle(now, update, actions);
   ProcessActions(actions, now);
   has_changes_ = true;
 }
@@ -101,7 +102,7 @@
 
 void PoolDecider::AddLoadReport(const std::string& proxy, const LoadReport& report, Millis now) {
   for (const EndpointLoad& load : report.endpoints) {
-    std::string id = load.sub_zone;  // gRPC's clients: each endpoint is a locality, named by its id
+    std::string id = load.sub_zone;  // gRPC clients: each endpoint is a locality with the host id as sub-zone
     if (!load.address.empty()) {
       const auto found = by_address_.find(load.address);
       id = found == by_address_.end() ? std::string() : found->second;
@@ -111,7 +112,7 @@
       ++unmatched_reports_;
       continue;
     }
-    // What was reported while another process stood there is not of this one.
+    // A report whose interval began before the current process replaced another one is not of this one alone.
     if (now - report.interval < record->second.replaced_at && record->second.replaced_at > 0 &&
         record->second.host.server.started_at > 0) {
       continue;
@@ -170,9 +171,10 @@
   for (const Action& action : actions) {
     if (const auto* const send = std::get_if<Send>(&action)) HandleSend(*send, now);
     if (const auto* const log = std::get_if<Log>(&action)) {
-      if (log->text.starts_with("server ")) log_.push_back(log->text);  // its rate is of samples: no news
+      if (log->text.starts_with("server "))
+        log_.push_back(log->text);  // its other lines concern the rate of samples
     }
-    // Refusals end samples that were not sent, timers are the caller's ticks.
+    // Nothing to do for refusals (they end samples that were not sent) and timers (Tick replaces them).
   }
 }
 
@@ -193,7 +195,7 @@
     scheduled_outcomes_.pop();
     ReportOutcome(scheduled.request, scheduled.host, scheduled.result, scheduled.latency, now);
   }
-  // Without news, reports or answers nobody becomes a suspect, and nothing is owed.
+  // Without any event, no host becomes ejected and no sample is due.
   if (!std::exchange(has_changes_, false) && ejected_.empty()) return;
   ejected_.clear();
   for (const ServerStatus& status : policy_.ServerStatuses()) {
@@ -210,15 +212,15 @@
     if (record.probe_request.empty()) continue;
     Result result = Result::kNotSent;
     Millis latency = 0;
-    // What was said before it was tried is what it was left out for. What is said since is good for many
-    // samples: a host that is well again is soon back.
+    // Only reports since the probing began count: earlier ones caused the ejection. One such report may serve
+    // several samples, so that a recovered host returns quickly.
     const bool has_estimate = DrawOutcome(id, record, record.probing_since, now, result, latency);
     if (!has_estimate && now - record.probe_sent_at < kProbeTimeoutMs) continue;
     if (result == Result::kError) record.probing_since = -1;
     ReportOutcome(std::exchange(record.probe_request, ""), id, result, latency, now);
   }
   int samples = std::min<int>(kMaxSamplesPerTick, static_cast<int>(total_credit));
-  if (samples == 0 && !ejected_.empty()) samples = 1;  // so that a trial comes about without other traffic
+  if (samples == 0 && !ejected_.empty()) samples = 1;  // allows a probe in a pool without other traffic
   for (int i = 0; i < samples; ++i) SubmitSample(now);
   has_changes_ = has_changes_ || total_credit >= 1;
 }
@@ -235,8 +237,8 @@
   }
   const double mean =
       candidates > ejected && total_weight > 0 ? total_weight / static_cast<double>(candidates - ejected) : 1;
-  // Whatever proxies say, half of a pool stays: beyond that the suspects are left in with a small share, for
-  // their failures are more likely to be somebody else's.
+  // At least half of a pool stays in use, whatever is reported. Beyond that, ejected hosts keep a small
+  // weight, as their failures more likely have a common cause elsewhere.
   const bool too_many_ejected = ejected * kMinHostsPerEjectedHost > candidates;
   const double probe_weight =
       std::max(1.0, kProbeWeightFraction * kMeanWeight * static_cast<double>(candidates));
--- a/src/xds/pool_decider.hpp
+++ b/src/xds/pool_decider.hpp
@@ -1,9 +1,11 @@
-// One pool's decisions for proxies that route by themselves: a decision module that sends nothing, fed by
-// what the proxies report, and its verdicts as endpoints with weights. Pure: no I/O, no clock.
+// Turns the load reports on one pool into endpoint weights and health for proxies that balance load
+// themselves. It feeds the reports to a decision module and reads the module's server statuses. No I/O and no
+// clock.
 //
-// The module learns from outcomes alone. So it is asked where it would send sample requests, and each sample
-// ends as the reports say that requests at that host end. A host that it holds for failing is left out; when
-// it wants a trial, the host is given a small share for as long as reports on it take to come in.
+// The module learns only from the outcomes of requests. The decider therefore submits sample requests, which
+// are not sent anywhere, and ends each one as the reports say that requests to the chosen host end. A host
+// that the module has ejected is marked so. When the module selects it for a probe, the host gets a small
+// weight until reports on it arrive.
 #ifndef OPALSWITCH_XDS_POOL_DECIDER_HPP_
 #define OPALSWITCH_XDS_POOL_DECIDER_HPP_
 
@@ -25,19 +27,20 @@
 
 class PoolDecider {
  public:
-  // `settings` are the pool's own: how hosts warm up is taken from them.
+  // Only the warm-up settings of the pool's `settings` are used.
   PoolDecider(const Settings& settings, std::uint64_t seed);
 
-  // What the membership says, drains of all pools and of operators included.
+  // Applies a membership update, with the drains of other pools and of operators already applied to it.
   void UpdateMembership(const gateway::HostList& list, Millis now);
-  // What one proxy reports of this pool.
+  // Processes one proxy's load report on this pool.
   void AddLoadReport(const std::string& proxy, const LoadReport& report, Millis now);
-  // To be called every few ms while the pool lives.
+  // To be called every few ms.
   void Tick(Millis now);
 
-  // The pool's endpoints, in the order of their ids.
+  // Returns the pool's endpoints, ordered by id. The cost grows with the number of hosts.
   std::vector<EndpointAssignment> Endpoints() const;
-  // What the membership says of one, at the cost of one; nothing if it is not of the pool.
+  // Returns one host's state in the membership, at a cost independent of the pool's size; nullopt if the pool
+  // does not have it.
   std::optional<ServerState> FindState(const std::string& host) const;
   std::size_t size() const { return hosts_.size(); }
 
@@ -45,28 +48,28 @@
     std::string id, address;
     EndpointHealth health;
     std::uint32_t weight;
-    bool is_probed;
-    double failure_fraction;  // as the proxies say, and how many do; 0 if none does
+    bool is_probed;           // it has a small weight until reports on it arrive
+    double failure_fraction;  // as reported; 0 without reports
     std::size_t reporter_count;
   };
   std::vector<HostStatus> Status(Millis now) const;
-  std::uint64_t unmatched_reports() const {
-    return unmatched_reports_;
-  }  // entries of reports that fit no host
-  // The module's lines on its servers since the last call.
+  // Number of entries of load reports that matched no host.
+  std::uint64_t unmatched_reports() const { return unmatched_reports_; }
+  // Returns the module's log lines on servers since the last call.
   std::vector<std::string> TakeLog() { return std::exchange(log_, {}); }
 
  private:
   struct HostRecord {
     gateway::Host host;
-    double sample_credit = 0;      // reported requests that no sample stands for yet
-    double failure_remainder = 0;  // part of a failure that samples owe
-    Millis replaced_at = 0;        // reports from before it are of another process
-    // A suspect that is being tried has a small share, from the first sample on until one fails.
-    Millis probing_since = -1;  // -1 = it is not
+    double sample_credit = 0;      // reported requests that no sample has been submitted for yet
+    double failure_remainder = 0;  // sum of failure fractions; at 1, the next sample fails
+    Millis replaced_at = 0;        // earlier reports concern another process
+    // Set from the first probe of an ejected host until a probe fails; meanwhile the host has a small weight.
+    Millis probing_since = -1;  // -1 = not being probed
     Millis probe_sent_at = 0;
-    std::string probe_request;  // the sample that is out to it; empty if none is
+    std::string probe_request;  // id of the sample waiting for a report; empty if none
   };
+  // A sample that ends at a given time.
   struct ScheduledOutcome {
     Millis at;
     std::string request, host;
@@ -79,10 +82,12 @@
   void RemoveAddress(const std::string& id, const HostRecord& record);
   void SubmitSample(Millis now);
   void ProcessActions(std::vector<Action>& actions, Millis now);
+  // Decides how a sample ends that the module sends to a host: now, later, or with the next report (a probe).
   void HandleSend(const Send& send, Millis now);
-  void ReportOutcome(const std::string& sample, const std::string& host, Result result, Millis latency,
+  void ReportOutcome(const std::string& request, const std::string& host, Result result, Millis latency,
                      Millis now);
-  // How a sample at the host ends now; false if no report tells.
+  // Determines the outcome of a sample at the host from the reports received since `since`; returns false if
+  // there are none.
   bool DrawOutcome(const std::string& host, HostRecord& record, Millis since, Millis now, Result& result,
                    Millis& latency);
 
@@ -92,9 +97,9 @@
   std::map<std::string, std::string> by_address_;
   std::set<std::string> ejected_;  // as of the last tick
   std::priority_queue<ScheduledOutcome, std::vector<ScheduledOutcome>, std::greater<>> scheduled_outcomes_;
-  Millis typical_latency_ = 1;  // latency, smoothed over all hosts: for one of which nobody can tell it
+  Millis typical_latency_ = 1;  // smoothed over all hosts; used for hosts whose latency is unknown
   std::uint64_t sample_count_ = 0, unmatched_reports_ = 0;
-  bool has_changes_ = true;  // something was told since the last tick that went through all hosts
+  bool has_changes_ = true;  // there was an event since the last tick that processed all hosts
   std::vector<std::string> log_;
 };
 
