--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -7,12 +7,11 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr Millis kMinComparisonIntervalMs = 50;        // at weights and failing hosts
-constexpr Millis kComparisonIntervalPerHostMs = 0.05;  // the same, by the number of a pool's hosts
-constexpr std::size_t kMaxDepartedNodes =
-    1000;  // nodes that left a pool while they drained, and are remembered
+constexpr Millis kMinComparisonIntervalMs = 50;  // of a pool's weights and health with the published ones
+constexpr Millis kComparisonIntervalPerHostMs = 0.05;  // bounds the cost of comparing a large pool
+constexpr std::size_t kMaxDepartedNodes = 1000;        // per pool: nodes that left it while draining
 
-// Whether what is to be told of an endpoint differs enough from what was.
+// Whether an endpoint differs enough from its published version to be published again.
 bool Differs(const EndpointAssignment& was, const EndpointAssignment& is, double threshold) {
   if (was.health != is.health || was.zone != is.zone || was.address != is.address || was.port != is.port)
     return true;
@@ -40,18 +39,18 @@
 
 const std::string& ControlPlane::SelectGroup(const ProxyNode& node) const {
   const auto& groups = services_->control.groups;
-  const auto takes = [](const std::vector<std::string>& patterns, const std::string& name) {
+  const auto matches = [](const std::vector<std::string>& patterns, const std::string& name) {
     return patterns.empty() || std::any_of(patterns.begin(), patterns.end(), [&](const std::string& pattern) {
              return config::MatchesPattern(pattern, name);
            });
   };
   for (const config::ControlGroup& group : groups) {
-    if (takes(group.node_ids, node.id) && takes(group.node_clusters, node.cluster) &&
-        takes(group.zones, node.zone))
+    if (matches(group.node_ids, node.id) && matches(group.node_clusters, node.cluster) &&
+        matches(group.zones, node.zone))
       return group.id;
   }
-  static const std::string kRest;
-  return kRest;
+  static const std::string kDefaultGroup;
+  return kDefaultGroup;
 }
 
 ControlPlane::OutgoingMessages ControlPlane::Configure(std::shared_ptr<const config::Services> services,
@@ -69,7 +68,7 @@
     pools[from.id] = std::make_unique<Pool>(from, seed_ + ++pools_created_);
     pools[from.id]->registry_id = pools_created_;
     if (found == pools_.end() || !found->second) continue;
-    // Until its membership tells: the hosts that the old pool knew.
+    // Until the first membership update: the hosts of the previous definition of the pool.
     const gateway::HostList known = nodes_.HostsOf(found->second->registry_id);
     if (!known.hosts.empty()) ApplyHostList(from.id, *pools[from.id], known, now);
   }
@@ -157,10 +156,10 @@
   for (const std::string& line : pool.decider.TakeLog()) log_("pool " + id + ": " + line);
 }
 
-void ControlPlane::ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now) {
-  for (const gateway::NodeRegistry::PoolUpdate& item : news) {
+void ControlPlane::ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& updates, Millis now) {
+  for (const gateway::NodeRegistry::PoolUpdate& update : updates) {
     for (auto& [id, pool] : pools_) {
-      if (pool->registry_id == item.pool) ApplyHostList(id, *pool, item.list, now);
+      if (pool->registry_id == update.pool) ApplyHostList(id, *pool, update.list, now);
     }
   }
 }
@@ -170,18 +169,19 @@
   OutgoingMessages out;
   const auto found = pools_.find(id);
   if (found == pools_.end()) return out;
-  const auto news = nodes_.ApplyUpdate(found->second->registry_id, list, now);
-  ApplyUpdates(news, now);
+  const auto updates = nodes_.ApplyUpdate(found->second->registry_id, list, now);
+  ApplyUpdates(updates, now);
   for (auto& [name, pool] : pools_) {
-    const auto reached = std::find_if(news.begin(), news.end(),
-                                      [&](const auto& item) { return item.pool == pool->registry_id; });
-    if (reached == news.end()) continue;
-    if (reached->list.complete || !pool->is_published || HasMovedHost(*pool, reached->list)) {
+    const auto update = std::find_if(updates.begin(), updates.end(), [&](const auto& candidate) {
+      return candidate.pool == pool->registry_id;
+    });
+    if (update == updates.end()) continue;
+    if (update->list.complete || !pool->is_published || HasMovedHost(*pool, update->list)) {
       Append(out, PublishChanges(name, *pool, now));
       continue;
     }
     std::set<std::string> hosts;
-    for (const gateway::Host& host : reached->list.hosts) hosts.insert(host.server.id);
+    for (const gateway::Host& host : update->list.hosts) hosts.insert(host.server.id);
     Append(out, PublishUnusable(name, *pool, hosts, now));
   }
   return out;
@@ -233,12 +233,12 @@
 }
 
 ControlPlane::OutgoingMessages ControlPlane::PublishChanges(const std::string& id, Pool& pool, Millis now) {
-  if (!pool.has_membership) return {};  // an empty list would have proxies let go of what they have
+  if (!pool.has_membership) return {};  // publishing an empty list would make proxies drop their endpoints
   std::map<std::string, EndpointAssignment> was;
-  std::set<std::string> changed, there;
-  bool urgent = !std::exchange(pool.is_published, true);  // proxies have waited for it
+  std::set<std::string> changed, present;
+  bool urgent = !std::exchange(pool.is_published, true);  // a pool's first endpoints
   for (const EndpointAssignment& endpoint : pool.decider.Endpoints()) {
-    there.insert(endpoint.id);
+    present.insert(endpoint.id);
     const auto found = pool.published.find(endpoint.id);
     if (found != pool.published.end()) {
       const EndpointAssignment& before = found->second;
@@ -250,16 +250,16 @@
     changed.insert(endpoint.id);
     SetPublishedEndpoint(pool, endpoint.id, &endpoint);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [host, endpoint] : pool.published) {
-    if (!there.contains(host)) gone.push_back(host);
+    if (!present.contains(host)) removed.push_back(host);
   }
-  for (const std::string& host : gone) {
+  for (const std::string& host : removed) {
     was[host] = pool.published.at(host);
     changed.insert(host);
     SetPublishedEndpoint(pool, host, nullptr);
   }
-  urgent = urgent || !gone.empty();
+  urgent = urgent || !removed.empty();
   if (changed.empty() && !urgent) return {};
   return PublishEndpoints(id, pool, was, changed, urgent, now);
 }
@@ -280,8 +280,8 @@
     next.weight = 1;
     SetPublishedEndpoint(pool, host, state ? &next : nullptr);
   }
-  pool.next_comparison =
-      std::min(pool.next_comparison, now + kMinComparisonIntervalMs);  // what else there is, soon
+  // Other changes are published by the next comparison, soon.
+  pool.next_comparison = std::min(pool.next_comparison, now + kMinComparisonIntervalMs);
   if (changed.empty()) return {};
   return PublishEndpoints(id, pool, was, changed, /*urgent=*/true, now);
 }
@@ -297,7 +297,7 @@
     const ResourcePtr list = resources.load_assignment;
     auto& members = changes[format][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
     if (format == kLeds) {
-      if (list->is_placeholder) {  // what stood for all that was not known yet
+      if (list->is_placeholder) {  // remove the placeholders
         for (const auto& [name, placeholder] : resources.lb_endpoints) members[name] = nullptr;
         resources.lb_endpoints.clear();
       }
@@ -338,35 +338,34 @@
 
 void ControlPlane::RecordDrainRequirements(const std::string& id, const Pool& pool,
                                            const std::set<std::string>& hosts) {
-  auto& since = drain_requirements_[id];
+  auto& requirements = drain_requirements_[id];
   for (const std::string& host : hosts) {
     const auto found = pool.published.find(host);
-    if (found == pool.published.end())
-      continue;  // gone: the lists without it count, those since its drain as well
+    if (found == pool.published.end()) continue;  // gone: the requirements of its drain, if any, still apply
     const EndpointAssignment& endpoint = found->second;
     if (endpoint.health != EndpointHealth::kDraining) {
-      since.erase(host);
+      requirements.erase(host);
       continue;
     }
-    auto& needs = since[host];
-    if (!needs.empty()) continue;  // it drains since an earlier list
+    auto& required = requirements[host];
+    if (!required.empty()) continue;  // draining since an earlier publication
     for (const Group& group : groups_) {
       if (!group.IncludesPool(id)) continue;
       const EndpointResources& resources = endpoint_resources_[group.format].at(id);
       if (group.format != kLeds) {
-        needs.push_back({group.id, ResourceType::kEndpoint, id, resources.load_assignment->serial});
+        required.push_back({group.id, ResourceType::kEndpoint, id, resources.load_assignment->serial});
         continue;
       }
-      // The list leads to members, and does not change with them.
+      // The ClusterLoadAssignment refers to the LbEndpoints and does not change with them.
       const std::string name = LbEndpointName(id, endpoint);
       const auto member = resources.lb_endpoints.find(name);
       if (member != resources.lb_endpoints.end())
-        needs.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
+        required.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
     }
   }
-  if (since.size() <= pool.published.size() + kMaxDepartedNodes) return;
-  // Few nodes that left while they drained are remembered.
-  std::erase_if(since, [&](const auto& entry) { return !pool.published.contains(entry.first); });
+  if (requirements.size() <= pool.published.size() + kMaxDepartedNodes) return;
+  // Too many nodes have left while draining: forget them.
+  std::erase_if(requirements, [&](const auto& entry) { return !pool.published.contains(entry.first); });
 }
 
 ControlPlane::OutgoingMessages ControlPlane::ApplyDrainChange(const std::string& node, Millis now) {
@@ -395,15 +394,15 @@
 std::vector<StreamHub::PendingProxy> ControlPlane::PendingProxies(const std::string& node, Millis now) const {
   std::map<std::string, Millis> all;
   for (const auto& [pool, nodes] : drain_requirements_) {
-    const auto needs = nodes.find(node);
-    if (needs == nodes.end()) continue;
-    for (const StreamHub::PendingProxy& waiting : hub_.PendingProxies(pool, needs->second, now)) {
-      Millis& until = all[waiting.proxy];
-      until = std::max(until, waiting.lease_expiry);
+    const auto required = nodes.find(node);
+    if (required == nodes.end()) continue;
+    for (const StreamHub::PendingProxy& proxy : hub_.PendingProxies(pool, required->second, now)) {
+      Millis& expiry = all[proxy.proxy];
+      expiry = std::max(expiry, proxy.lease_expiry);
     }
   }
   std::vector<StreamHub::PendingProxy> list;
-  for (const auto& [proxy, until] : all) list.push_back({proxy, until});
+  for (const auto& [proxy, expiry] : all) list.push_back({proxy, expiry});
   return list;
 }
 
--- a/src/xds/control_plane.hpp
+++ b/src/xds/control_plane.hpp
@@ -1,8 +1,9 @@
-// All that the control service decides: the operators' file, the membership, the reports of proxies and the
-// drains of operators become snapshots for the hub. Pure: no I/O, no clock.
+// Decision logic of the control service: turns the operators' file, the membership, proxies' load reports and
+// operators' drains into snapshots for the stream hub. No I/O and no clock.
 //
-// Drains, removals and whatever makes a host unusable for good are published at once; weights, additions and
-// hosts that are left out for failing go together, and small moves of weights not at all.
+// Drains, removals, moved addresses and a pool's first endpoints are published at once. Changed weights,
+// added hosts and ejections are combined by the hub. Weight changes below the configured threshold are not
+// published.
 #ifndef OPALSWITCH_XDS_CONTROL_PLANE_HPP_
 #define OPALSWITCH_XDS_CONTROL_PLANE_HPP_
 
@@ -28,24 +29,24 @@
 class ControlPlane {
  public:
   using OutgoingMessages = std::vector<StreamHub::OutgoingMessage>;
-  // `hub` must outlive this. `say` takes lines for the log.
+  // `hub` must outlive this. `log` is called with lines for the log.
   ControlPlane(StreamHub& hub, std::uint64_t seed, std::function<void(const std::string&)> log);
 
-  // Another file holds from now on. Pools that it defines as before keep what they have learned.
+  // Replaces the configuration. Pools whose definition is unchanged keep their learned state.
   OutgoingMessages Configure(std::shared_ptr<const config::Services> services, Millis now);
-  // What a pool's membership says.
+  // Applies an update of a pool's membership.
   OutgoingMessages UpdateMembership(const std::string& pool, const gateway::HostList& list, Millis now);
   void AddLoadReports(const ProxyNode& proxy, const std::vector<LoadReport>& reports, Millis now);
   OutgoingMessages Tick(Millis now);
 
-  // An operator's drain: holds for the node's id, in all pools, until it is taken back.
+  // Drains a node on behalf of an operator: in all pools, by its id, until Undrain.
   OutgoingMessages Drain(const std::string& node, Millis now);
   OutgoingMessages Undrain(const std::string& node, Millis now);
   const std::set<std::string>& drained_nodes() const { return drained_; }
-  // Operators' drains of an earlier run; before Configure.
+  // Restores the operators' drains of an earlier run; to be called before Configure.
   void RestoreDrains(std::set<std::string> drained) { drained_ = std::move(drained); }
   bool HasNode(const std::string& node) const;
-  // Proxies that may still send to a node that drains, each once, with the longest time.
+  // Returns the proxies that may still send to a draining node: each one once, with its latest lease expiry.
   std::vector<StreamHub::PendingProxy> PendingProxies(const std::string& node, Millis now) const;
 
   struct PoolStatus {
@@ -63,13 +64,13 @@
     std::string definition;
     gateway::NodeRegistry::PoolId registry_id = 0;
     PoolDecider decider;
-    bool has_membership = false;                     // its membership has told of it
-    bool is_published = false;                       // and proxies were told
-    std::map<std::string, EndpointAssignment> told;  // as last published, by id
-    std::map<std::string, std::size_t> zone_counts;  // of these, and how many each has
-    Millis next_comparison = 0;  // when weights and failing hosts are next held against it
+    bool has_membership = false;                          // a membership update has arrived
+    bool is_published = false;                            // endpoints have been published since
+    std::map<std::string, EndpointAssignment> published;  // endpoints as last published, by host id
+    std::map<std::string, std::size_t> zone_counts;       // number of published endpoints by zone
+    Millis next_comparison = 0;  // when the endpoints are next compared with `published`
   };
-  // How endpoints are worded for a group. Groups with the same format share all of them.
+  // Form of a group's endpoint resources. Groups with the same format share them.
   enum EndpointFormat { kStandard, kGrpcClients, kLeds, kEndpointFormatCount };
   struct Group {
     std::string id;
@@ -80,26 +81,27 @@
     bool IncludesPool(const std::string& pool) const { return pools.empty() || pools.contains(pool); }
   };
 
-  // The operators' drain of a node has begun or ended.
+  // Publishes the start or end of an operator's drain of a node.
   OutgoingMessages ApplyDrainChange(const std::string& node, Millis now);
   void ApplyHostList(const std::string& id, Pool& pool, const gateway::HostList& list, Millis now);
-  void ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& news, Millis now);
+  void ApplyUpdates(const std::vector<gateway::NodeRegistry::PoolUpdate>& updates, Millis now);
   void WriteDecisionLog(const std::string& id, Pool& pool);
-  // Tells of a pool's endpoints if they differ enough from what was told. Costs what the pool has.
+  // Publishes a pool's endpoints if they differ enough from the published ones. The cost grows with the
+  // number of the pool's hosts.
   OutgoingMessages PublishChanges(const std::string& id, Pool& pool, Millis now);
-  // Tells which of these hosts can't be sent to any more; additions wait for the next look. Costs what the
-  // hosts cost, where proxies are told endpoint by endpoint.
+  // Publishes which of these hosts are draining or gone; other changes wait for the next comparison. For LEDS
+  // the cost grows with the number of these hosts only.
   OutgoingMessages PublishUnusable(const std::string& id, Pool& pool, const std::set<std::string>& hosts,
                                    Millis now);
-  // Whether a host that proxies know is at another address now.
+  // Whether a published host has changed its address.
   static bool HasMovedHost(const Pool& pool, const gateway::HostList& list);
-  // A pool's endpoint becomes another, or none.
+  // Replaces a published endpoint; a null one removes it.
   static void SetPublishedEndpoint(Pool& pool, const std::string& host, const EndpointAssignment* to);
-  // Has the hub tell of what has changed in `told`, by id; `was` has what these were.
+  // Publishes the endpoints with the ids in `changed`; `was` has their previous versions.
   OutgoingMessages PublishEndpoints(const std::string& id, Pool& pool,
                                     const std::map<std::string, EndpointAssignment>& was,
                                     const std::set<std::string>& changed, bool urgent, Millis now);
-  // Notes of these hosts which can't be sent to, from which resource on.
+  // Records, for those of these hosts that drain, which resources proxies must have accepted.
   void RecordDrainRequirements(const std::string& id, const Pool& pool, const std::set<std::string>& hosts);
   ResourceOptions OptionsFor(EndpointFormat format) const;
   const std::string& SelectGroup(const ProxyNode& node) const;
@@ -112,10 +114,10 @@
   gateway::NodeRegistry nodes_;
   std::uint64_t pools_created_ = 0, load_report_count_ = 0;
   std::set<std::string> drained_;
-  std::vector<Group> groups_;  // in the file's order; the last, without a name, takes what the others don't
+  std::vector<Group> groups_;  // in the file's order; the last one, without a name, is for all other proxies
   std::array<std::map<std::string, EndpointResources>, kEndpointFormatCount>
-      endpoint_resources_;  // by pool; of forms that are in use
-  // Since which resource a node can't be sent to: by pool, by node, for each format's list or member.
+      endpoint_resources_;  // by pool; for formats in use
+  // Resources that proxies must have accepted to have stopped using a node: by pool and node id.
   std::map<std::string, std::map<std::string, std::vector<StreamHub::RequiredResource>>> drain_requirements_;
 };
 
--- a/src/xds/control_server.cpp
+++ b/src/xds/control_server.cpp
@@ -22,13 +22,13 @@
 namespace {
 
 namespace discovery = envoy::service::discovery::v3;
-constexpr int kMaxRequestBytes = 4 << 20;  // bytes of a proxy's request
+constexpr int kMaxRequestBytes = 4 << 20;
 
 }  // namespace
 
 class ControlServer::Impl {
  public:
-  // One stream, whatever its variant, as the deciding thread sees it.
+  // A stream of either variant, as used by the decision thread.
   class Stream {
    public:
     virtual ~Stream() = default;
@@ -52,7 +52,9 @@
       const bool loopback = options_.address.starts_with("127.") || options_.address.starts_with("[::1]") ||
                             options_.address.starts_with("unix:");
       if (!loopback && !options_.plaintext_anywhere)
-        throw std::runtime_error(options_.address + ": plaintext is for loopback addresses alone");
+        throw std::runtime_error(
+            options_.address +
+            ": plaintext is allowed on loopback addresses only; configure TLS, or plaintext_anywhere");
       credentials = grpc::InsecureServerCredentials();
     }
     grpc::ServerBuilder builder;
@@ -65,7 +67,7 @@
     if (!server_ || port_ == 0) throw std::runtime_error(options_.address + ": can't listen");
   }
 
-  ~Impl() { server_->Shutdown(std::chrono::system_clock::now()); }  // streams are cancelled at once
+  ~Impl() { server_->Shutdown(std::chrono::system_clock::now()); }  // cancels all streams immediately
 
   int port() const { return port_; }
 
@@ -75,7 +77,7 @@
   }
 
  private:
-  // A reactor of gRPC: its calls come on gRPC's threads, those of Stream on the deciding one.
+  // gRPC calls the reactor's methods on its own threads; those of Stream run on the decision thread.
   template <typename In, typename Reply, Session::Variant variant>
   class Reactor : public grpc::ServerBidiReactor<In, Reply>, public Stream {
    public:
@@ -100,7 +102,7 @@
       if (!ok) return owner_.loop_.Post([this](Millis) { Close(grpc::Status::OK); });
       owner_.loop_.Post([this](Millis now) {
         const auto request = ToRequest(in_);
-        // Types that this service has not are asked for in vain, and hold nothing else up.
+        // Requests for types that this service does not serve are ignored.
         if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToNode(in_.node()), *request, now));
         ReadNext();
       });
@@ -153,7 +155,7 @@
     const StreamHub::StreamId id_;
     In in_;
     std::mutex mutex_;
-    std::deque<std::unique_ptr<Reply>> replies_;  // the first is being written
+    std::deque<std::unique_ptr<Reply>> replies_;  // the first one is being written
     std::size_t queued_bytes_ = 0;
     bool is_closed_ = false;
   };
@@ -189,13 +191,13 @@
   }
 
   const ControlServerOptions options_;
-  StreamHub hub_;  // of the loop's thread, as the streams
+  StreamHub hub_;  // used on the decision thread only, like streams_
   std::map<StreamHub::StreamId, Stream*> streams_;
   std::atomic<StreamHub::StreamId> last_stream_id_{0};
   int port_ = 0;
   Service service_;
   LoadService load_service_;
-  DecisionLoop loop_;  // ends before them: what is queued may use them
+  DecisionLoop loop_;  // destroyed before the members above, which its queued work uses
   std::unique_ptr<grpc::Server> server_;
 };
 
--- a/src/xds/decision_loop.hpp
+++ b/src/xds/decision_loop.hpp
@@ -1,5 +1,5 @@
-// The one thread that decides. gRPC calls from threads of its own; whatever they bring is put on one queue
-// and done here, one after the other.
+// The decision thread. gRPC uses threads of its own; their events are queued here and processed one after the
+// other.
 #ifndef OPALSWITCH_XDS_DECISION_LOOP_HPP_
 #define OPALSWITCH_XDS_DECISION_LOOP_HPP_
 
@@ -15,15 +15,16 @@
 
 class DecisionLoop {
  public:
-  // `tick` is called on the loop's thread every 10 ms or so.
+  // `tick` is called on the loop's thread about every 10 ms.
   explicit DecisionLoop(std::function<void(Millis now)> tick);
-  // Does what is queued, and ends.
+  // Processes the queued work and stops the thread.
   ~DecisionLoop();
   DecisionLoop(const DecisionLoop&) = delete;
   DecisionLoop& operator=(const DecisionLoop&) = delete;
 
+  // Queues `work`. Thread-safe.
   void Post(std::function<void(Millis now)> work);
-  // The same, and waits until it is done. Not from the loop's own thread.
+  // Queues `work` and waits until it is done. Must not be called on the loop's thread.
   void RunAndWait(const std::function<void(Millis now)>& work);
 
  private:
--- a/src/xds/drain_file.cpp
+++ b/src/xds/drain_file.cpp
@@ -39,7 +39,7 @@
   if (!parsed.is_object() || drained == parsed.end() || !drained->is_array())
     throw std::runtime_error(path_ + ": drained: missing, expected {\"drained\": [ids of nodes]}");
   for (const auto& node : *drained) {
-    if (!node.is_string()) throw std::runtime_error(path_ + ": drained: holds what is no text");
+    if (!node.is_string()) throw std::runtime_error(path_ + ": drained: found an entry that is not a string");
     nodes.insert(node.get<std::string>());
   }
   return nodes;
@@ -54,7 +54,8 @@
   const int error = errno;
   if (fd >= 0) close(fd);
   if (is_written && rename(next.c_str(), path_.c_str()) == 0) return;
-  std::fprintf(stderr, "forkwick-control: %s: not written (%s): the drains end with this process\n",
+  std::fprintf(stderr,
+               "forkwick-control: %s: writing failed (%s); the drains hold only until this process ends\n",
                path_.c_str(), std::strerror(is_written ? errno : error));
 }
 
--- a/src/xds/drain_file.hpp
+++ b/src/xds/drain_file.hpp
@@ -1,5 +1,5 @@
-// Operators' drains, kept in a file: {"drained": ["node-1"]}. Written whole, by renaming, so that a control
-// service which dies in the middle of a drain knows of it when it is back.
+// Persists operators' drains in a file: {"drained": ["node-1"]}. The file is replaced by renaming, so that a
+// control service that crashes during a drain still finds it after the restart.
 #ifndef OPALSWITCH_XDS_DRAIN_FILE_HPP_
 #define OPALSWITCH_XDS_DRAIN_FILE_HPP_
 
@@ -10,13 +10,13 @@
 
 class DrainFile {
  public:
-  // An empty path: nothing is kept.
+  // With an empty path, nothing is persisted.
   explicit DrainFile(std::string path) : path_(std::move(path)) {}
 
-  // Nothing if there is no file. Throws std::runtime_error if it can't be read whole: a drain must not be
-  // forgotten in silence.
+  // Returns an empty set if there is no file. Throws std::runtime_error if the file can't be read or is
+  // invalid: a drain must not be lost silently.
   std::set<std::string> Read() const;
-  // A fault is told on the log; the drains hold while the process runs.
+  // Replaces the file. A failure is logged; the drains then hold only until the process ends.
   void Write(const std::set<std::string>& nodes) const;
 
  private:
--- a/src/xds/load_service.cpp
+++ b/src/xds/load_service.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-// A proxy's stream: it says who it is, is told what to report, and reports. It reads the next report only
-// when the last was decided on.
+// A proxy's stream: the first message identifies the proxy and is answered with the reporting interval; the
+// others are reports. The next report is read only after the last one has been processed.
 class LoadService::Reactor
     : public grpc::ServerBidiReactor<stats::LoadStatsRequest, stats::LoadStatsResponse> {
  public:
@@ -32,7 +32,7 @@
     owner_.loop_.Post([this](Millis now) { HandleReport(now); });
   }
   void OnCancel() override { Close(grpc::Status::CANCELLED); }
-  // What is posted for it still comes before this.
+  // Deletes itself on the loop, after the work that is still queued for it.
   void OnDone() override {
     owner_.loop_.Post([this](Millis) { delete this; });
   }
--- a/src/xds/load_service.hpp
+++ b/src/xds/load_service.hpp
@@ -1,4 +1,5 @@
-// Load reports of proxies over gRPC (load_stats.v3): asked for, paced and handed to the thread that decides.
+// The load reporting service (LRS, load_stats.v3) over gRPC: requests load reports, limits their rate and
+// passes them to the decision thread.
 #ifndef OPALSWITCH_XDS_LOAD_SERVICE_HPP_
 #define OPALSWITCH_XDS_LOAD_SERVICE_HPP_
 
@@ -19,11 +20,11 @@
  public:
   struct Options {
     Millis report_interval =
-        1000;  // a proxy is asked to report so often; one that does it twice as often is not heard
-    double max_reports_per_second = 2000;  // of all proxies together; what is beyond is not heard
-    std::vector<std::string> client_names;
+        1000;  // that proxies are asked for; reports after less than half of it are dropped
+    double max_reports_per_second = 2000;   // over all proxies; further ones are dropped
+    std::vector<std::string> client_names;  // see IsCallerAllowed
     std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)>
-        on_report;  // on the loop
+        on_report;  // called on the loop's thread
   };
   LoadService(DecisionLoop& loop, Options options) : loop_(loop), options_(std::move(options)) {}
 
@@ -33,7 +34,7 @@
 
  private:
   class Reactor;
-  // On the loop. Whether there is room for one report more of all proxies.
+  // Takes a token for one report, if there is one (token bucket over all proxies). On the loop's thread.
   bool TryAdmitReport(Millis now);
 
   DecisionLoop& loop_;
--- a/src/xds/operator_server.cpp
+++ b/src/xds/operator_server.cpp
@@ -20,8 +20,8 @@
 
 namespace api = forkwick::control::v1;
 
-constexpr auto kDrainPollInterval = std::chrono::milliseconds(5);  // whether a drain still waits
-constexpr int kMaxDrainCalls = 16;                                 // of operators at once
+constexpr auto kDrainPollInterval = std::chrono::milliseconds(5);  // of the proxies that a drain waits for
+constexpr int kMaxDrainCalls = 16;                                 // concurrent
 
 enum Exit { kDone = 0, kFailed = 1, kStillWaiting = 4 };
 
@@ -54,12 +54,12 @@
     builder.SetSyncServerOption(grpc::ServerBuilder::SyncServerOption::MAX_POLLERS, 2);
     builder.AddListeningPort("unix:" + socket, grpc::InsecureServerCredentials());
     builder.RegisterService(this);
-    unlink(socket.c_str());  // of a run that did not end well
-    const mode_t before = umask(0177);
+    unlink(socket.c_str());  // left behind by a run that crashed
+    const mode_t old_umask = umask(0177);
     grpc_ = builder.BuildAndStart();
-    umask(before);
+    umask(old_umask);
     if (!grpc_ || access(socket.c_str(), F_OK) != 0)
-      throw std::runtime_error(socket + ": can't be made as a socket");
+      throw std::runtime_error(socket + ": can't create the socket");
   }
   ~Impl() override {
     is_stopping_ = true;
@@ -114,9 +114,9 @@
       --calls_;
       return {grpc::StatusCode::RESOURCE_EXHAUSTED, "too many drains are waited for at once"};
     }
-    const auto end = StreamDrainProgress(context, *request, writer);
+    const auto status = StreamDrainProgress(context, *request, writer);
     --calls_;
-    return end;
+    return status;
   }
 
   grpc::Status Undrain(grpc::ServerContext*, const api::UndrainRequest* request,
@@ -134,12 +134,13 @@
   }
 
  private:
+  // Drains the node and writes a reply whenever the set of pending proxies changes.
   grpc::Status StreamDrainProgress(grpc::ServerContext* context, const api::DrainRequest& request,
                                    grpc::ServerWriter<api::DrainReply>* writer) {
     bool known = false;
-    Millis begun = 0;
+    Millis started_at = 0;
     server_.RunOnDecisionThread([&](StreamHub&, Millis now) {
-      begun = now;
+      started_at = now;
       known = control_ && control_->HasNode(request.node());
       if (!known) return ControlPlane::OutgoingMessages();
       auto out = control_->Drain(request.node(), now);
@@ -147,25 +148,25 @@
       return out;
     });
     if (!known) return {grpc::StatusCode::NOT_FOUND, "no pool has a host '" + request.node() + "'"};
-    std::set<std::string> named;
+    std::set<std::string> reported;
     for (bool first = true;; first = false) {
       api::DrainReply reply;
       server_.RunOnDecisionThread([&](StreamHub&, Millis now) {
-        reply.set_after_ms(now - begun);
-        for (const StreamHub::PendingProxy& waiting : control_->PendingProxies(request.node(), now)) {
+        reply.set_after_ms(now - started_at);
+        for (const StreamHub::PendingProxy& pending : control_->PendingProxies(request.node(), now)) {
           auto* const to = reply.add_waiting();
-          to->set_proxy(waiting.proxy);
-          to->set_lease_ms(std::isfinite(waiting.lease_expiry) ? waiting.lease_expiry - now : -1);
+          to->set_proxy(pending.proxy);
+          to->set_lease_ms(std::isfinite(pending.lease_expiry) ? pending.lease_expiry - now : -1);
         }
         return ControlPlane::OutgoingMessages();
       });
       std::set<std::string> names;
       for (const auto& waiting : reply.waiting()) names.insert(waiting.proxy());
-      if (first || names != named) {
+      if (first || names != reported) {
         if (!writer->Write(reply)) return grpc::Status::CANCELLED;
       }
-      named = std::move(names);
-      if (named.empty() || !request.wait()) return grpc::Status::OK;
+      reported = std::move(names);
+      if (reported.empty() || !request.wait()) return grpc::Status::OK;
       if (is_stopping_) return {grpc::StatusCode::UNAVAILABLE, "the control service ends"};
       if (context->IsCancelled()) return grpc::Status::CANCELLED;
       std::this_thread::sleep_for(kDrainPollInterval);
--- a/src/xds/operator_server.hpp
+++ b/src/xds/operator_server.hpp
@@ -1,5 +1,5 @@
-// The local socket by which operators ask what the control service does, and drain nodes. Who may write to
-// the socket's file may do all of it: it is made for its owner alone.
+// The operators' API on a Unix socket: status, drains and undrains, and the client functions of the command
+// line. Access is controlled by the permissions of the socket file, which only its owner can write to.
 #ifndef OPALSWITCH_XDS_OPERATOR_SERVER_HPP_
 #define OPALSWITCH_XDS_OPERATOR_SERVER_HPP_
 
@@ -15,8 +15,9 @@
 
 class OperatorServer {
  public:
-  // `control` is used on the server's deciding thread alone, and may be null until it is made. `drains` is
-  // told, on that thread, what is drained from now on. Throws std::runtime_error if the socket can't be made.
+  // `control` is used only on the decision thread of `server`, and may be null until it is created.
+  // `on_drains_changed` is called on that thread with all drained nodes. Throws std::runtime_error if the
+  // socket can't be created.
   OperatorServer(const std::string& socket, ControlServer& server,
                  const std::unique_ptr<ControlPlane>& control,
                  std::function<void(const std::set<std::string>&)> on_drains_changed);
@@ -27,9 +28,9 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// The client's side, for the command line. Each gives the exit code and prints what it found.
+// Client functions for the command line: they print the result and return the exit code.
 int ShowStatus(const std::string& socket, bool json);
-// Waits for `timeout` ms at the most; 0 = for ever.
+// `wait`: waits until no proxy sends to the node any more, for up to `timeout` ms; 0 = no limit.
 int DrainNode(const std::string& socket, const std::string& node, bool wait, Millis timeout);
 int UndrainNode(const std::string& socket, const std::string& node);
 
--- a/src/xds/proto_conversion.cpp
+++ b/src/xds/proto_conversion.cpp
@@ -29,7 +29,8 @@
   return std::find(out.leased_names.begin(), out.leased_names.end(), name) != out.leased_names.end();
 }
 
-// A resource with its lease; one that a heartbeat renews has no content.
+// Wraps a resource with its name, version and time to live. `resource` is null in a heartbeat, which renews a
+// lease without content.
 discovery::Resource WrapResource(const StreamHub::OutgoingMessage& out, const std::string& name,
                                  const Resource* resource, Millis lease) {
   discovery::Resource wrapped;
--- a/src/xds/proto_conversion.hpp
+++ b/src/xds/proto_conversion.hpp
@@ -1,4 +1,4 @@
-// ADS messages from and to the forms that the hub decides on. Pure.
+// Conversion between ADS protocol buffer messages and the stream hub's types. No I/O.
 #ifndef OPALSWITCH_XDS_PROTO_CONVERSION_HPP_
 #define OPALSWITCH_XDS_PROTO_CONVERSION_HPP_
 
@@ -21,11 +21,11 @@
 
 ProxyNode ToNode(const envoy::config::core::v3::Node& node);
 
-// Nothing if the type is none that this service has.
+// Returns nullopt if this service does not serve the requested type.
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DiscoveryRequest& from);
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
 
-// `lease`: the time to live, in ms, of what is leased.
+// Fills in all but the type URL and the nonce. `lease`: time to live, in ms, of the leased resources.
 void FillResponse(envoy::service::discovery::v3::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
                   Millis lease, const std::string& identifier);
 void FillResponse(envoy::service::discovery::v3::DeltaDiscoveryResponse& to,
--- a/src/xds/tls.cpp
+++ b/src/xds/tls.cpp
@@ -11,15 +11,16 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr unsigned kFileCheckIntervalSeconds = 1;  // seconds
+constexpr unsigned kFileCheckIntervalSeconds = 1;
 constexpr std::size_t kMaxFileBytes = 1 << 20;
 
-void RequirePem(const std::string& path, const char* begin) {
+// Throws std::runtime_error if the file does not contain `marker`.
+void RequirePem(const std::string& path, const char* marker) {
   std::string text;
   if (!gateway::ReadFile(path, kMaxFileBytes, text))
     throw std::runtime_error(path + ": can't be read, or is larger than 1 MiB");
-  if (text.find(begin) == std::string::npos)
-    throw std::runtime_error(path + ": holds no \"" + begin + "\", expected PEM");
+  if (text.find(marker) == std::string::npos)
+    throw std::runtime_error(path + ": holds no \"" + marker + "\", expected PEM");
 }
 
 }  // namespace
--- a/src/xds/tls.hpp
+++ b/src/xds/tls.hpp
@@ -1,5 +1,5 @@
-// TLS of the control service: certificates out of files, read again when they change, and the names of
-// proxies.
+// TLS of the control service: server credentials from files, which are reloaded when they change, and checks
+// of proxies' certificate names.
 #ifndef OPALSWITCH_XDS_TLS_HPP_
 #define OPALSWITCH_XDS_TLS_HPP_
 
@@ -14,13 +14,13 @@
 
 namespace opalswitch::xds {
 
-// Throws std::runtime_error, naming the file, if one can't be read or holds nothing to be used. With a client
-// authority proxies must show a certificate that it has signed (mutual TLS). The files are looked at once a
-// second; a pair that does not fit together is not taken.
+// Throws std::runtime_error, with the file's name, if a file can't be read or has no PEM block of the
+// expected kind. With a client authority, proxies must present a certificate signed by it (mutual TLS).
+// Changed files are noticed within a second; a key that does not match its certificate is not used.
 std::shared_ptr<grpc::ServerCredentials> MakeCredentials(const config::ControlTls& tls);
 
-// Whether the caller's certificate has one of the names (its subject alternative names, or else its common
-// name); any caller if there are none to ask for.
+// Whether the caller's certificate has one of `names` as a subject alternative name or, if it has none of
+// these, as its common name. With no names, every caller is allowed.
 bool IsCallerAllowed(const grpc::CallbackServerContext& context, const std::vector<std::string>& names);
 
 }  // namespace opalswitch::xds
