--- a/src/xds/pool_decider.cpp
+++ b/src/xds/pool_decider.cpp
@@ -62,8 +62,8 @@
     record.host = host;
     // If two hosts have the same address, reports are matched to the one that is up: the other is draining or
     // gone.
-    const auto [place, free] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
-    if (!free && host.server.state == ServerState::kUp) place->second = id;
+    const auto [place, is_new] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
+    if (!is_new && host.server.state == ServerState::kUp) place->second = id;
   }
   if (list.complete) {
     std::vector<std::string> removed;
@@ -159,10 +159,10 @@
   ReportOutcome(send.request, send.server, Result::kNotSent, 0, now);
 }
 
-void PoolDecider::ReportOutcome(const std::string& sample, const std::string& host, Result result,
+void PoolDecider::ReportOutcome(const std::string& request, const std::string& host, Result result,
                                 Millis latency, Millis now) {
   std::vector<Action> actions;
-  policy_.Handle(now, Outcome{sample, 0, host, result, true, latency, {}}, actions);
+  policy_.Handle(now, Outcome{request, 0, host, result, true, latency, {}}, actions);
   has_changes_ = has_changes_ || result != Result::kNotSent;
   ProcessActions(actions, now);
 }
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -13,8 +13,8 @@
 
 using xds::ResourceType;
 
-struct World {
-  World() {
+struct ServiceFolder {
+  ServiceFolder() {
     char pattern[] = "/tmp/forkwick-control-XXXXXX";
     folder = mkdtemp(pattern);
     Save(
@@ -23,7 +23,7 @@
             R"({"id":"a","phase":"up","host_port":"10.0.0.1:80"},{"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
     Save("f.toml", Text(0));
   }
-  ~World() {
+  ~ServiceFolder() {
     for (const char* const name : {"hosts.json", "f.toml", "drains.json", "s"})
       unlink((folder + "/" + name).c_str());
     rmdir(folder.c_str());
@@ -49,10 +49,10 @@
   static int PortOf(const Process& process) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      const std::string said = process.Errors(), mark = "serves xDS at 127.0.0.1:";
-      const std::size_t at = said.find(mark);
-      if (at != std::string::npos && said.find('\n', at) != std::string::npos)
-        return std::stoi(said.substr(at + mark.size()));
+      const std::string output = process.Errors(), marker = "serves xDS at 127.0.0.1:";
+      const std::size_t at = output.find(marker);
+      if (at != std::string::npos && output.find('\n', at) != std::string::npos)
+        return std::stoi(output.substr(at + marker.size()));
       std::this_thread::yield();
     }
     ADD_FAILURE() << process.Errors();
@@ -65,73 +65,73 @@
 };
 
 TEST(ControlCommand, ServesTellsAndDrains) {
-  World world;
-  Process process(world.Run());
-  const int port = World::PortOf(process);
+  ServiceFolder folder;
+  Process process(folder.Run());
+  const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
   ASSERT_TRUE(MakeWhole(client));
   EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1"));
-  const Said status = RunProgram("status --json " + world.Socket());
+  const Said status = RunProgram("status --json " + folder.Socket());
   ASSERT_EQ(status.code, 0) << status.text;
   const auto json = nlohmann::json::parse(status.text);
   EXPECT_EQ(json["pools"].size(), 2u);
   EXPECT_EQ(json["pools"][0]["strict"], true);
   EXPECT_EQ(json["proxies"][0]["id"], "proxy-1");
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 0);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 0);
+  const Said drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.code, 0) << drain.text;
   EXPECT_NE(drain.text.find("a is drained"), std::string::npos) << drain.text;
   EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
   EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
-  EXPECT_EQ(RunProgram("drain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain a " + world.Socket()).code, 0);
+  EXPECT_EQ(RunProgram("drain nobody " + folder.Socket()).code, 1);
+  EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).code, 1);
+  EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).code, 0);
   ASSERT_TRUE(client.Await([&] { return client.RoutesAsHeld("one", "10.0.0.1"); }));
   // Its membership is followed.
-  world.Save("hosts.json", World::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
+  folder.Save("hosts.json", ServiceFolder::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
   ASSERT_TRUE(client.Await([&] { return !client.RoutesAsHeld("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 1);  // nobody answers
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 1);  // nobody answers
   EXPECT_EQ(RunProgram("status").code, 2);
 }
 
 TEST(ControlCommand, ADrainWaitsForAProxyThatDoesNotAnswerAndNamesIt) {
-  World world;
-  Process process(world.Run());
-  XdsClient client(World::PortOf(process), true, "mute");
+  ServiceFolder folder;
+  Process process(folder.Run());
+  XdsClient client(ServiceFolder::PortOf(process), true, "mute");
   client.reply = [](ResourceType, auto&) { return XdsClient::Reply::kNothing; };
   client.Connect();
   client.Subscribe(ResourceType::kEndpoint, {"two"});  // static: no lease ends the wait
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
-  const Said drain = RunProgram("drain a --wait --timeout 4 " + world.Socket());
+  const Said drain = RunProgram("drain a --wait --timeout 4 " + folder.Socket());
   EXPECT_EQ(drain.code, 4) << drain.text;
   EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
 }
 
 // Guards the 500 ms: whoever was told nothing by either process must have stopped, and the new one must know.
 TEST(ControlCommand, KilledAndRestartedInTheMiddleOfADrainItKnowsOfTheDrain) {
-  World world;
-  std::optional<Process> process(std::in_place, world.Run());
-  int port = World::PortOf(*process);
-  world.Save("f.toml", World::Text(port));  // the same one again after the restart
-  XdsClient client(port, true, "proxy-1"), deaf(port, true, "deaf");
+  ServiceFolder folder;
+  std::optional<Process> process(std::in_place, folder.Run());
+  int port = ServiceFolder::PortOf(*process);
+  folder.Save("f.toml", ServiceFolder::Text(port));  // the same one again after the restart
+  XdsClient client(port, true, "proxy-1"), unresponsive(port, true, "deaf");
   ASSERT_TRUE(MakeWhole(client));
-  deaf.Connect();
-  deaf.Subscribe(ResourceType::kEndpoint, {"one"});
-  ASSERT_TRUE(deaf.Await([&] { return deaf.Routes("one", "10.0.0.1", true); }));
+  unresponsive.Connect();
+  unresponsive.Subscribe(ResourceType::kEndpoint, {"one"});
+  ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.Routes("one", "10.0.0.1", true); }));
   // From here on it takes nothing in; it goes by its lease.
-  deaf.Ignore();
-  ASSERT_EQ(RunProgram("drain a " + world.Socket()).code, 0);
+  unresponsive.Ignore();
+  ASSERT_EQ(RunProgram("drain a " + folder.Socket()).code, 0);
   process->Kill();
   process->Wait();
   ASSERT_TRUE(client.Await([&] { return client.ended(); }));
   client.Drop();
-  process.emplace(world.Run());
-  ASSERT_EQ(World::PortOf(*process), port);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
+  process.emplace(folder.Run());
+  ASSERT_EQ(ServiceFolder::PortOf(*process), port);
+  const Said drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_FALSE(deaf.Routes("one", "10.0.0.1"));  // its lease has run out before the wait was over
+  EXPECT_FALSE(unresponsive.Routes("one", "10.0.0.1"));  // its lease has run out before the wait was over
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0 && IsWhole(client); }));
   EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
@@ -139,9 +139,9 @@
 }
 
 TEST(ControlCommand, LoadReportsMoveTheWeights) {
-  World world;
-  Process process(world.Run());
-  const int port = World::PortOf(process);
+  ServiceFolder folder;
+  Process process(folder.Run());
+  const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
   ASSERT_TRUE(MakeWhole(client));
   const std::uint32_t before = client.Weight("two", "10.0.0.3");
@@ -156,14 +156,14 @@
 }
 
 TEST(ControlCommand, RefusesToStartWithAFileItCannotUse) {
-  World world;
-  world.Save("drains.json", "{\"drained\": 7}");
-  Process process(world.Run());
+  ServiceFolder folder;
+  folder.Save("drains.json", "{\"drained\": 7}");
+  Process process(folder.Run());
   EXPECT_EQ(process.Wait(), 1);
   EXPECT_NE(process.Errors().find("drains.json: drained: missing, expected"), std::string::npos)
       << process.Errors();
-  world.Save("f.toml", World::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
-  Process other(world.Run());
+  folder.Save("f.toml", ServiceFolder::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
+  Process other(folder.Run());
   EXPECT_EQ(other.Wait(), 1);
   EXPECT_NE(other.Errors().find("control.group.g.pools: found"), std::string::npos) << other.Errors();
 }
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -40,15 +40,15 @@
 }
 
 // Proxies that take in all that they are told, at once.
-struct World {
-  explicit World(const std::string& more = "")
+struct Simulation {
+  explicit Simulation(const std::string& more = "")
       : control(hub, 1, [this](const std::string& line) { log.push_back(line); }) {
     Deliver(control.Configure(File(more), now));
   }
   void Connect(StreamHub::StreamId stream, const xds::ProxyNode& node, bool answers = true) {
     ASSERT_TRUE(hub.OpenStream(stream, Session::Variant::kDelta, now));
     nodes[stream] = node;
-    mute[stream] = !answers;
+    is_unresponsive[stream] = !answers;
     for (const auto& [type, names] :
          std::map<ResourceType, std::vector<std::string>>{{ResourceType::kCluster, {}},
                                                           {ResourceType::kEndpoint, {"one", "two"}},
@@ -64,15 +64,15 @@
       std::vector<StreamHub::OutgoingMessage> next;
       for (const StreamHub::OutgoingMessage& out : all) {
         if (out.close_reason) continue;
-        auto& held = holds[out.stream][out.response.type];
+        auto& resources = held[out.stream][out.response.type];
         std::vector<std::string> collections;
         for (const auto& resource : out.response.resources) {
-          held[resource->name] = resource->bytes;
-          ++told[out.stream];
+          resources[resource->name] = resource->bytes;
+          ++resources_received[out.stream];
           if (out.response.type == ResourceType::kEndpoint) AddCollections(*resource, collections);
         }
-        for (const std::string& name : out.response.removed) held.erase(name);
-        if (mute[out.stream]) continue;
+        for (const std::string& name : out.response.removed) resources.erase(name);
+        if (is_unresponsive[out.stream]) continue;
         XdsRequest ack;
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
@@ -115,13 +115,13 @@
             endpoint.load_balancing_weight().value();
     };
     envoy::config::endpoint::v3::ClusterLoadAssignment list;
-    if (!list.ParseFromString(holds[stream][ResourceType::kEndpoint][pool])) return usable;
+    if (!list.ParseFromString(held[stream][ResourceType::kEndpoint][pool])) return usable;
     for (const auto& locality : list.endpoints()) {
       for (const auto& endpoint : locality.lb_endpoints()) add(endpoint);
       if (!locality.has_leds_cluster_locality_config()) continue;
       std::string collection = locality.leds_cluster_locality_config().leds_collection_name();
       collection.pop_back();
-      for (const auto& [name, bytes] : holds[stream][ResourceType::kLbEndpoint]) {
+      for (const auto& [name, bytes] : held[stream][ResourceType::kLbEndpoint]) {
         envoy::config::endpoint::v3::LbEndpoint member;
         if (name.starts_with(collection) && member.ParseFromString(bytes)) add(member);
       }
@@ -134,125 +134,132 @@
   StreamHub hub{xds::StreamHubOptions()};
   ControlPlane control;
   std::map<StreamHub::StreamId, xds::ProxyNode> nodes;
-  std::map<StreamHub::StreamId, bool> mute;
-  std::map<StreamHub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> holds;
+  std::map<StreamHub::StreamId, bool> is_unresponsive;
+  std::map<StreamHub::StreamId, std::map<ResourceType, std::map<std::string, std::string>>> held;
   std::map<StreamHub::StreamId, std::set<std::string>> subscribed;
-  std::map<StreamHub::StreamId, int> told;  // resources
+  std::map<StreamHub::StreamId, int> resources_received;
 };
 
 // Guards proxies against a control service that has just started: a list that is not known yet is no empty
 // list.
 TEST(XdsControl, TellsNothingOfAPoolUntilItsMembershipIsKnown) {
-  World world;
-  ASSERT_TRUE(world.hub.OpenStream(1, Session::Variant::kDelta, world.now));
+  Simulation simulation;
+  ASSERT_TRUE(simulation.hub.OpenStream(1, Session::Variant::kDelta, simulation.now));
   XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"one", "two"};
   back.initial_versions = {{"one", "of an earlier run"}};
-  for (const StreamHub::OutgoingMessage& out : world.hub.HandleRequest(1, {"p", "", ""}, back, world.now)) {
+  for (const StreamHub::OutgoingMessage& out :
+       simulation.hub.HandleRequest(1, {"p", "", ""}, back, simulation.now)) {
     EXPECT_TRUE(out.response.resources.empty());
     EXPECT_TRUE(out.response.removed.empty());
   }
-  world.nodes[1] = {"p", "", ""};
-  world.Deliver(world.control.UpdateMembership("two", {0, true, {Node("b", 2)}}, world.now));
-  EXPECT_EQ(world.Usable(1, "two").size(), 1u);
-  EXPECT_FALSE(world.holds[1][ResourceType::kEndpoint].contains("one"));
-  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 1)}}, world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 1u);
+  simulation.nodes[1] = {"p", "", ""};
+  simulation.Deliver(simulation.control.UpdateMembership("two", {0, true, {Node("b", 2)}}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
+  EXPECT_FALSE(simulation.held[1][ResourceType::kEndpoint].contains("one"));
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, {Node("a", 1)}}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
 }
 
 TEST(XdsControl, DrainsOfMembershipAndOperatorsReachAllPoolsAtOnce) {
-  World world;
+  Simulation simulation;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2), Node("c", 3)}},
-                                                 world.now));
-  world.Connect(1, {"p", "", ""});
-  EXPECT_EQ(world.Usable(1, "one").size(), 3u);
-  world.Deliver(
-      world.control.UpdateMembership("one", {0, false, {Node("a", 1, ServerState::kDraining)}}, world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 2u);
-  EXPECT_EQ(world.Usable(1, "two").size(), 2u);  // one node, whatever pool told
-  EXPECT_TRUE(world.control.HasNode("b"));
-  EXPECT_FALSE(world.control.HasNode("nobody"));
-  world.Deliver(world.control.Drain("b", world.now));
-  EXPECT_EQ(world.Usable(1, "one"), (std::map<std::string, std::uint32_t>{{"10.0.0.3", 100}}));
-  EXPECT_EQ(world.Usable(1, "two").size(), 1u);
+    simulation.Deliver(simulation.control.UpdateMembership(
+        pool, {0, true, {Node("a", 1), Node("b", 2), Node("c", 3)}}, simulation.now));
+  simulation.Connect(1, {"p", "", ""});
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 3u);
+  simulation.Deliver(simulation.control.UpdateMembership(
+      "one", {0, false, {Node("a", 1, ServerState::kDraining)}}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 2u);
+  EXPECT_EQ(simulation.Usable(1, "two").size(), 2u);  // one node, whatever pool told
+  EXPECT_TRUE(simulation.control.HasNode("b"));
+  EXPECT_FALSE(simulation.control.HasNode("nobody"));
+  simulation.Deliver(simulation.control.Drain("b", simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one"), (std::map<std::string, std::uint32_t>{{"10.0.0.3", 100}}));
+  EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
   // Membership that goes on listing it as up does not end an operator's drain; nor does a restart of the
   // node.
-  world.Deliver(world.control.UpdateMembership(
-      "one", {0, true, {Node("b", 2, ServerState::kUp, 5), Node("c", 3)}}, world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 1u);
-  world.Deliver(world.control.Undrain("b", world.now));
-  world.Run(300);  // nothing that is urgent
-  EXPECT_EQ(world.Usable(1, "one").size(), 2u);
+  simulation.Deliver(simulation.control.UpdateMembership(
+      "one", {0, true, {Node("b", 2, ServerState::kUp, 5), Node("c", 3)}}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
+  simulation.Deliver(simulation.control.Undrain("b", simulation.now));
+  simulation.Run(300);  // nothing that is urgent
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 2u);
 }
 
 TEST(XdsControl, ADrainNamesWhomItWaitsFor) {
-  World world;
+  Simulation simulation;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
-  world.Connect(1, {"good", "", ""});
-  world.Connect(2, {"mute", "", ""}, false);
-  world.Connect(3, {"gone", "", ""});
-  world.hub.OnStreamClosed(3, world.now);
-  EXPECT_TRUE(world.control.PendingProxies("a", world.now).empty());  // it does not drain
-  world.Deliver(world.control.Drain("a", world.now));
-  std::map<std::string, Millis> waiting;
-  for (const auto& w : world.control.PendingProxies("a", world.now)) waiting[w.proxy] = w.lease_expiry;
-  ASSERT_EQ(waiting.size(), 2u);
+    simulation.Deliver(
+        simulation.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, simulation.now));
+  simulation.Connect(1, {"good", "", ""});
+  simulation.Connect(2, {"mute", "", ""}, false);
+  simulation.Connect(3, {"gone", "", ""});
+  simulation.hub.OnStreamClosed(3, simulation.now);
+  EXPECT_TRUE(simulation.control.PendingProxies("a", simulation.now).empty());  // it does not drain
+  simulation.Deliver(simulation.control.Drain("a", simulation.now));
+  std::map<std::string, Millis> pending;
+  for (const auto& proxy : simulation.control.PendingProxies("a", simulation.now))
+    pending[proxy.proxy] = proxy.lease_expiry;
+  ASSERT_EQ(pending.size(), 2u);
   // Of the strict pool a lease; of the other no end until they answer.
-  EXPECT_FALSE(std::isfinite(waiting["mute"]));
-  EXPECT_FALSE(std::isfinite(waiting["gone"]));
-  world.Connect(4, {"gone", "", ""});  // it is back
-  waiting.clear();
-  for (const auto& w : world.control.PendingProxies("a", world.now)) waiting[w.proxy] = w.lease_expiry;
-  EXPECT_EQ(waiting.size(), 1u);
+  EXPECT_FALSE(std::isfinite(pending["mute"]));
+  EXPECT_FALSE(std::isfinite(pending["gone"]));
+  simulation.Connect(4, {"gone", "", ""});  // it is back
+  pending.clear();
+  for (const auto& proxy : simulation.control.PendingProxies("a", simulation.now))
+    pending[proxy.proxy] = proxy.lease_expiry;
+  EXPECT_EQ(pending.size(), 1u);
   // A later change does not make proxies that know of the drain seem behind.
-  world.Deliver(world.control.UpdateMembership("one", {0, false, {Node("c", 3)}}, world.now));
-  world.mute[1] = true;
-  world.Run(300);
-  for (const auto& w : world.control.PendingProxies("a", world.now)) EXPECT_EQ(w.proxy, "mute");
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, false, {Node("c", 3)}}, simulation.now));
+  simulation.is_unresponsive[1] = true;
+  simulation.Run(300);
+  for (const auto& proxy : simulation.control.PendingProxies("a", simulation.now))
+    EXPECT_EQ(proxy.proxy, "mute");
 }
 
 TEST(XdsControl, ANodeThatDrainsAndComesBackAtItsAddressUnderANewIdIsUsed) {
-  World world;
-  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
-  world.Connect(1, {"p", "", ""});
-  world.Deliver(world.control.Drain("a", world.now));
-  EXPECT_EQ(world.Usable(1, "one").count("10.0.0.1"), 0u);
-  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("b", 2)}}, world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 1u);
-  world.Run(1000);
-  world.Deliver(world.control.UpdateMembership(
-      "one", {0, true, {Node("a2", 1, ServerState::kUp, world.now), Node("b", 2)}}, world.now));
-  world.Run(300);
-  EXPECT_EQ(world.Usable(1, "one").count("10.0.0.1"), 1u);
-  EXPECT_TRUE(world.control.PendingProxies("a", world.now).empty());
+  Simulation simulation;
+  simulation.Deliver(
+      simulation.control.UpdateMembership("one", {0, true, {Node("a", 1), Node("b", 2)}}, simulation.now));
+  simulation.Connect(1, {"p", "", ""});
+  simulation.Deliver(simulation.control.Drain("a", simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").count("10.0.0.1"), 0u);
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, {Node("b", 2)}}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
+  simulation.Run(1000);
+  simulation.Deliver(simulation.control.UpdateMembership(
+      "one", {0, true, {Node("a2", 1, ServerState::kUp, simulation.now), Node("b", 2)}}, simulation.now));
+  simulation.Run(300);
+  EXPECT_EQ(simulation.Usable(1, "one").count("10.0.0.1"), 1u);
+  EXPECT_TRUE(simulation.control.PendingProxies("a", simulation.now).empty());
   // The same id again is the drained one still.
-  world.Deliver(world.control.UpdateMembership("one", {0, true, {Node("a", 4), Node("b", 2)}}, world.now));
-  world.Run(300);
-  EXPECT_EQ(world.Usable(1, "one").count("10.0.0.4"), 0u);
+  simulation.Deliver(
+      simulation.control.UpdateMembership("one", {0, true, {Node("a", 4), Node("b", 2)}}, simulation.now));
+  simulation.Run(300);
+  EXPECT_EQ(simulation.Usable(1, "one").count("10.0.0.4"), 0u);
 }
 
 TEST(XdsControl, SmallMovesOfWeightsAreNotSentAndLargeOnesGoTogether) {
-  World world;
+  Simulation simulation;
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 20; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
-  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
-  world.Connect(1, {"p", "", ""});
-  const auto before = world.hub.statistics().pushes;
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
+  simulation.Connect(1, {"p", "", ""});
+  const auto before = simulation.hub.statistics().pushes;
   hosts[0].server.weight = 1.05;
-  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
-  world.Run(1000);
-  EXPECT_EQ(world.hub.statistics().pushes, before);
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
+  simulation.Run(1000);
+  EXPECT_EQ(simulation.hub.statistics().pushes, before);
   for (int i = 0; i < 15; ++i) {  // within one wait of 200 ms
     hosts[static_cast<std::size_t>(i)].server.weight = 2;
-    world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
-    world.Run(10);
+    simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
+    simulation.Run(10);
   }
-  world.Run(300);
-  EXPECT_LE(world.hub.statistics().pushes, before + 2);
-  EXPECT_NEAR(world.Usable(1, "one")["10.0.0.1"], 2.0 * world.Usable(1, "one")["10.0.0.20"], 40);
+  simulation.Run(300);
+  EXPECT_LE(simulation.hub.statistics().pushes, before + 2);
+  EXPECT_NEAR(simulation.Usable(1, "one")["10.0.0.1"], 2.0 * simulation.Usable(1, "one")["10.0.0.20"], 40);
 }
 
 constexpr char kGroups[] = R"([control]
@@ -261,61 +268,62 @@
 )";
 
 TEST(XdsControl, GroupsSeeTheirPoolsAndRoutesThatLeadElsewhereAreTakenByNobody) {
-  World world(kGroups);
+  Simulation simulation(kGroups);
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1)}}, world.now));
-  world.Connect(1, {"edge-7", "", ""});
-  world.Connect(2, {"other", "", ""});
-  EXPECT_EQ(world.holds[1][ResourceType::kCluster].size(), 1u);
-  EXPECT_FALSE(world.holds[1][ResourceType::kEndpoint].contains("one"));
-  EXPECT_EQ(world.holds[2][ResourceType::kCluster].size(), 2u);
+    simulation.Deliver(simulation.control.UpdateMembership(pool, {0, true, {Node("a", 1)}}, simulation.now));
+  simulation.Connect(1, {"edge-7", "", ""});
+  simulation.Connect(2, {"other", "", ""});
+  EXPECT_EQ(simulation.held[1][ResourceType::kCluster].size(), 1u);
+  EXPECT_FALSE(simulation.held[1][ResourceType::kEndpoint].contains("one"));
+  EXPECT_EQ(simulation.held[2][ResourceType::kCluster].size(), 2u);
   // "/one" must not fall through to the route of pool two.
-  EXPECT_EQ(world.holds[1][ResourceType::kRoute]["routes/in"].find("\x0a\x03one"), std::string::npos);
-  EXPECT_NE(world.holds[1][ResourceType::kRoute]["routes/in"],
-            world.holds[2][ResourceType::kRoute]["routes/in"]);
+  EXPECT_EQ(simulation.held[1][ResourceType::kRoute]["routes/in"].find("\x0a\x03one"), std::string::npos);
+  EXPECT_NE(simulation.held[1][ResourceType::kRoute]["routes/in"],
+            simulation.held[2][ResourceType::kRoute]["routes/in"]);
 }
 
 TEST(XdsControl, EndpointsOneByOneComeAsACollectionAndAChangeTellsOne) {
-  World world(kGroups);
+  Simulation simulation(kGroups);
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 200; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
-  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
-  world.Connect(1, {"p", "", "z9"});
-  EXPECT_EQ(world.Usable(1, "one").size(), 200u);
-  const int told = world.told[1];
-  world.Deliver(world.control.Drain("h7", world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 199u);
-  EXPECT_EQ(world.told[1], told + 1);
-  EXPECT_TRUE(world.control.PendingProxies("h7", world.now).empty());
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
+  simulation.Connect(1, {"p", "", "z9"});
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 200u);
+  const int received = simulation.resources_received[1];
+  simulation.Deliver(simulation.control.Drain("h7", simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 199u);
+  EXPECT_EQ(simulation.resources_received[1], received + 1);
+  EXPECT_TRUE(simulation.control.PendingProxies("h7", simulation.now).empty());
   hosts.erase(hosts.begin() + 10);
-  world.Deliver(world.control.UpdateMembership("one", {0, true, hosts}, world.now));
-  EXPECT_EQ(world.Usable(1, "one").size(), 198u);
-  EXPECT_EQ(world.told[1], told + 1);  // a removal, no resource
-  world.mute[1] = true;
-  world.Deliver(world.control.Drain("h8", world.now));
-  EXPECT_EQ(world.control.PendingProxies("h8", world.now).size(), 1u);
+  simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 198u);
+  EXPECT_EQ(simulation.resources_received[1], received + 1);  // a removal, no resource
+  simulation.is_unresponsive[1] = true;
+  simulation.Deliver(simulation.control.Drain("h8", simulation.now));
+  EXPECT_EQ(simulation.control.PendingProxies("h8", simulation.now).size(), 1u);
   // Its lease on the list is not renewed while it has not answered.
-  world.Run(390);
-  EXPECT_EQ(world.control.PendingProxies("h8", world.now).size(), 1u);
-  world.Run(20);
-  EXPECT_TRUE(world.control.PendingProxies("h8", world.now).empty());
+  simulation.Run(390);
+  EXPECT_EQ(simulation.control.PendingProxies("h8", simulation.now).size(), 1u);
+  simulation.Run(20);
+  EXPECT_TRUE(simulation.control.PendingProxies("h8", simulation.now).empty());
 }
 
 TEST(XdsControl, AReloadKeepsWhatPoolsHaveLearnedAndDrainsHold) {
-  World world;
+  Simulation simulation;
   for (const char* const pool : {"one", "two"})
-    world.Deliver(world.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, world.now));
-  world.Connect(1, {"p", "", ""});
-  world.Deliver(world.control.Drain("a", world.now));
-  const int told = world.told[1];
-  world.Deliver(world.control.Configure(File(""), world.now));
-  EXPECT_EQ(world.told[1], told);  // all the same: nothing is told again
-  EXPECT_EQ(world.Usable(1, "one").size(), 1u);
-  world.Deliver(
-      world.control.Configure(File("[control]\ngroup = [{ id = \"all\", pools = [\"two\"] }]\n"), world.now));
-  EXPECT_FALSE(
-      world.holds[1][ResourceType::kCluster].contains("one"));  // another group, on the stream that it has
-  EXPECT_EQ(world.Usable(1, "two").size(), 1u);
+    simulation.Deliver(
+        simulation.control.UpdateMembership(pool, {0, true, {Node("a", 1), Node("b", 2)}}, simulation.now));
+  simulation.Connect(1, {"p", "", ""});
+  simulation.Deliver(simulation.control.Drain("a", simulation.now));
+  const int received = simulation.resources_received[1];
+  simulation.Deliver(simulation.control.Configure(File(""), simulation.now));
+  EXPECT_EQ(simulation.resources_received[1], received);  // all the same: nothing is told again
+  EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
+  simulation.Deliver(simulation.control.Configure(
+      File("[control]\ngroup = [{ id = \"all\", pools = [\"two\"] }]\n"), simulation.now));
+  EXPECT_FALSE(simulation.held[1][ResourceType::kCluster].contains(
+      "one"));  // another group, on the stream that it has
+  EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
 }
 
 }  // namespace
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -18,15 +18,15 @@
 using xds::StreamHub;
 
 // A server that answers every call with its name.
-class Named : public grpc::CallbackGenericService {
+class NamedServer : public grpc::CallbackGenericService {
  public:
-  explicit Named(std::string name) : name_(std::move(name)) {
+  explicit NamedServer(std::string name) : name_(std::move(name)) {
     grpc::ServerBuilder builder;
     builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &port_);
     builder.RegisterCallbackGenericService(this);
     server_ = builder.BuildAndStart();
   }
-  ~Named() override { server_->Shutdown(std::chrono::system_clock::now()); }
+  ~NamedServer() override { server_->Shutdown(std::chrono::system_clock::now()); }
   int port() const { return port_; }
 
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext*) override {
@@ -53,7 +53,7 @@
 };
 
 // Who answers one call; empty if it failed.
-std::string Ask(const std::shared_ptr<grpc::Channel>& channel) {
+std::string Call(const std::shared_ptr<grpc::Channel>& channel) {
   grpc::GenericStub stub(channel);
   grpc::ClientContext context;
   context.set_wait_for_ready(true);
@@ -67,8 +67,8 @@
   grpc::Status status;
   call->Finish(&reply, &status, &queue);
   void* tag = nullptr;
-  bool good = false;
-  queue.Next(&tag, &good);
+  bool ok = false;
+  queue.Next(&tag, &ok);
   queue.Shutdown();
   std::vector<grpc::Slice> slices;
   if (!status.ok() || !reply.Dump(&slices).ok()) return "";
@@ -86,7 +86,7 @@
       "[[route]]\npool = \"one\"\nclass = \"view\"\n",
       "f", "");
   ASSERT_TRUE(parsed.services);
-  Named a("a"), b("b");
+  NamedServer a("a"), b("b");
   xds::ControlServer control{xds::ControlServerOptions()};
   const auto publish = [&](EndpointHealth health_of_a) {
     const xds::EndpointAssignments nodes = {
@@ -109,9 +109,9 @@
   const auto channel = grpc::CreateChannel("xds:///baskets", grpc::InsecureChannelCredentials());
   int from_a = 0, from_b = 0;
   for (int i = 0; i < 400; ++i) {
-    const std::string who = Ask(channel);
-    from_a += who == "a";
-    from_b += who == "b";
+    const std::string server = Call(channel);
+    from_a += server == "a";
+    from_b += server == "b";
   }
   EXPECT_EQ(from_a + from_b, 400);
   // Three to one; a ring of hashes and 400 draws leave some play.
@@ -119,10 +119,11 @@
   EXPECT_GT(from_b, 40);
   publish(EndpointHealth::kDraining);
   // Told is not yet followed; that shows by itself soon, and then for good.
-  int in_a_row = 0;
-  for (int i = 0; i < 20000 && in_a_row < 60; ++i) in_a_row = Ask(channel) == "b" ? in_a_row + 1 : 0;
-  ASSERT_EQ(in_a_row, 60);
-  for (int i = 0; i < 200; ++i) ASSERT_EQ(Ask(channel), "b");
+  int consecutive_from_b = 0;
+  for (int i = 0; i < 20000 && consecutive_from_b < 60; ++i)
+    consecutive_from_b = Call(channel) == "b" ? consecutive_from_b + 1 : 0;
+  ASSERT_EQ(consecutive_from_b, 60);
+  for (int i = 0; i < 200; ++i) ASSERT_EQ(Call(channel), "b");
 }
 
 }  // namespace
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -19,12 +19,12 @@
 using xds::StreamHub;
 using xds::XdsRequest;
 
-std::shared_ptr<const Snapshot> Lists(const std::map<std::string, std::string>& versions) {
+std::shared_ptr<const Snapshot> EndpointSnapshot(const std::map<std::string, std::string>& versions) {
   std::array<ResourceMap, xds::kResourceTypeCount> all;
   for (const auto& [name, version] : versions) {
-    static std::uint64_t serials = 0;
+    static std::uint64_t last_serial = 0;
     all[static_cast<std::size_t>(ResourceType::kEndpoint)][name] =
-        std::make_shared<Resource>(Resource{name, version, version, {}, ++serials});
+        std::make_shared<Resource>(Resource{name, version, version, {}, ++last_serial});
   }
   return std::make_shared<Snapshot>(std::move(all));
 }
@@ -47,44 +47,46 @@
 // A proxy: it takes messages as they arrive, and goes by a list only while its lease runs.
 struct Proxy {
   std::string version;  // of the list that it goes by
-  Millis until = 0;     // of its lease
+  Millis lease_expiry = 0;
   StreamHub::StreamId stream = 0;
-  bool connected = false, reads = true, answers = true;
+  bool is_connected = false, reads = true, answers = true;
   struct Message {
     Millis at;
     StreamHub::OutgoingMessage out;
   };
   std::deque<Message> inbox;  // on the way, in order
 
-  bool Uses(const std::string& old, Millis now) const { return version == old && now < until; }
+  bool UsesVersion(const std::string& expected, Millis now) const {
+    return version == expected && now < lease_expiry;
+  }
 };
 
-struct World {
-  explicit World(unsigned seed, std::size_t count, const xds::StreamHubOptions& options = {})
+struct Simulation {
+  explicit Simulation(unsigned seed, std::size_t count, const xds::StreamHubOptions& options = {})
       : hub(options), random(seed) {
     hub.SetStrictPools({"p"});
-    Deliver(hub.Publish("", Lists({{"p", "1"}}), true, now));
+    Deliver(hub.Publish("", EndpointSnapshot({{"p", "1"}}), true, now));
     proxies.resize(count);
     for (std::size_t i = 0; i < count; ++i) Connect(i);
   }
   void Connect(std::size_t i) {
     Proxy& proxy = proxies[i];
     proxy.stream = ++streams;
-    proxy.connected = hub.OpenStream(proxy.stream, variant, now);
+    proxy.is_connected = hub.OpenStream(proxy.stream, variant, now);
     proxy.inbox.clear();
     by_stream[proxy.stream] = i;
-    if (!proxy.connected) return;
+    if (!proxy.is_connected) return;
     XdsRequest request = Subscribe("p");
-    if (variant == Session::Variant::kDelta && !proxy.version.empty() && now < proxy.until) {
+    if (variant == Session::Variant::kDelta && !proxy.version.empty() && now < proxy.lease_expiry) {
       request.initial_versions = {{"p", proxy.version}};
     }
     Deliver(hub.HandleRequest(proxy.stream, {"proxy-" + std::to_string(i), "", ""}, request, now));
   }
   // Ends the stream: what is on its way arrives up to `keep` messages, the rest never.
-  void Drop(std::size_t i, std::size_t keep) {
+  void Disconnect(std::size_t i, std::size_t keep) {
     Proxy& proxy = proxies[i];
-    if (!proxy.connected) return;
-    proxy.connected = false;
+    if (!proxy.is_connected) return;
+    proxy.is_connected = false;
     hub.OnStreamClosed(proxy.stream, now);
     if (proxy.inbox.size() > keep) proxy.inbox.resize(keep);
   }
@@ -92,7 +94,7 @@
     for (StreamHub::OutgoingMessage& out : all) {
       Proxy& proxy = proxies[by_stream.at(out.stream)];
       if (out.close_reason) {
-        proxy.connected = false;
+        proxy.is_connected = false;
         continue;
       }
       Millis at = now + 1 + static_cast<double>(random() % 40);
@@ -109,10 +111,10 @@
         const StreamHub::OutgoingMessage out = std::move(proxy.inbox.front().out);
         proxy.inbox.pop_front();
         for (const auto& resource : out.response.resources) proxy.version = resource->version;
-        const bool leased =
+        const bool is_leased =
             std::find(out.leased_names.begin(), out.leased_names.end(), "p") != out.leased_names.end();
-        if (leased) proxy.until = now + 400;
-        if (!proxy.connected || !proxy.answers) continue;
+        if (is_leased) proxy.lease_expiry = now + 400;
+        if (!proxy.is_connected || !proxy.answers) continue;
         XdsRequest ack = Subscribe("p");
         ack.subscribe.clear();
         ack.nonce = out.response.nonce;
@@ -131,123 +133,126 @@
 };
 
 TEST(XdsHub, KeepsALeaseAliveWhileAllIsWell) {
-  World world(1, 5);
+  Simulation simulation(1, 5);
   for (int i = 0; i < 3000; ++i) {
-    world.Step();
+    simulation.Step();
     if (i < 100) continue;
-    for (const Proxy& proxy : world.proxies) ASSERT_TRUE(proxy.Uses("1", world.now)) << i;
+    for (const Proxy& proxy : simulation.proxies) ASSERT_TRUE(proxy.UsesVersion("1", simulation.now)) << i;
   }
 }
 
 // The heart of it: drains at any moment, while streams break at every message boundary, proxies miss the
 // drain, read nothing, answer nothing, or come back. No proxy goes by the old list for 500 ms.
 TEST(XdsHub, NoProxyUsesAListFor500MsAfterADrain) {
-  double worst = 0;
+  double longest_use = 0;
   for (unsigned seed = 0; seed < 400; ++seed) {
-    World world(seed, 8);
-    world.variant = seed % 2 == 0 ? Session::Variant::kDelta : Session::Variant::kStateOfTheWorld;
-    for (std::size_t i = 0; i < 8; ++i) world.Drop(i, 0), world.Connect(i);
-    const int lead = 300 + static_cast<int>(world.random() % 500);
-    for (int i = 0; i < lead; ++i) world.Step();
+    Simulation simulation(seed, 8);
+    simulation.variant = seed % 2 == 0 ? Session::Variant::kDelta : Session::Variant::kStateOfTheWorld;
+    for (std::size_t i = 0; i < 8; ++i) simulation.Disconnect(i, 0), simulation.Connect(i);
+    const int steps_before = 300 + static_cast<int>(simulation.random() % 500);
+    for (int i = 0; i < steps_before; ++i) simulation.Step();
     for (std::size_t i = 0; i < 8; ++i) {
-      switch (world.random() % 6) {
-        case 0: world.Drop(i, 0); break;
-        case 1: world.Drop(i, world.random() % 3); break;
-        case 2: world.proxies[i].answers = false; break;
+      switch (simulation.random() % 6) {
+        case 0: simulation.Disconnect(i, 0); break;
+        case 1: simulation.Disconnect(i, simulation.random() % 3); break;
+        case 2: simulation.proxies[i].answers = false; break;
         default: break;
       }
     }
-    const Millis drained = world.now;
-    world.Deliver(world.hub.Publish("", Lists({{"p", "2"}}), true, world.now));
+    const Millis drained_at = simulation.now;
+    simulation.Deliver(simulation.hub.Publish("", EndpointSnapshot({{"p", "2"}}), true, simulation.now));
     for (std::size_t i = 0; i < 8; ++i) {
-      if (world.random() % 4 == 0) world.Drop(i, world.random() % 2);  // in the middle of the update
+      if (simulation.random() % 4 == 0)
+        simulation.Disconnect(i, simulation.random() % 2);  // in the middle of the update
     }
     // Weights go on changing, which must not keep an old list alive.
     for (int i = 0; i < 700; ++i) {
-      world.Step();
+      simulation.Step();
       if (i % 50 == 10) {
-        world.Deliver(world.hub.Publish("", Lists({{"p", "2." + std::to_string(i)}}), false, world.now));
+        simulation.Deliver(simulation.hub.Publish("", EndpointSnapshot({{"p", "2." + std::to_string(i)}}),
+                                                  false, simulation.now));
       }
       for (std::size_t k = 0; k < 8; ++k) {
-        if (world.proxies[k].Uses("1", world.now)) worst = std::max(worst, world.now - drained);
-        if (!world.proxies[k].connected && world.random() % 200 == 0) world.Connect(k);
+        if (simulation.proxies[k].UsesVersion("1", simulation.now))
+          longest_use = std::max(longest_use, simulation.now - drained_at);
+        if (!simulation.proxies[k].is_connected && simulation.random() % 200 == 0) simulation.Connect(k);
       }
     }
   }
-  EXPECT_LT(worst, 500);
-  EXPECT_GT(worst, 100);  // some were lost, and went on for as long as their lease ran
+  EXPECT_LT(longest_use, 500);
+  EXPECT_GT(longest_use, 100);  // some were lost, and went on for as long as their lease ran
 }
 
 TEST(XdsHub, WaitsForProxiesThatMayGoByAnOlderListAndNamesThem) {
-  World world(3, 3);
-  for (int i = 0; i < 200; ++i) world.Step();
-  world.Drop(0, 0);
-  world.proxies[1].answers = false;
-  const auto drained = Lists({{"p", "2"}});
-  world.Deliver(world.hub.Publish("", drained, true, world.now));
-  auto waiting = PendingProxies(world.hub, drained, world.now);
-  EXPECT_EQ(waiting.size(), 3u);
-  for (int i = 0; i < 100; ++i) world.Step();
-  waiting = PendingProxies(world.hub, drained, world.now);
-  ASSERT_EQ(waiting.size(), 2u);
+  Simulation simulation(3, 3);
+  for (int i = 0; i < 200; ++i) simulation.Step();
+  simulation.Disconnect(0, 0);
+  simulation.proxies[1].answers = false;
+  const auto drained = EndpointSnapshot({{"p", "2"}});
+  simulation.Deliver(simulation.hub.Publish("", drained, true, simulation.now));
+  auto pending = PendingProxies(simulation.hub, drained, simulation.now);
+  EXPECT_EQ(pending.size(), 3u);
+  for (int i = 0; i < 100; ++i) simulation.Step();
+  pending = PendingProxies(simulation.hub, drained, simulation.now);
+  ASSERT_EQ(pending.size(), 2u);
   std::set<std::string> names;
-  for (const auto& w : waiting) names.insert(w.proxy);
+  for (const auto& proxy : pending) names.insert(proxy.proxy);
   EXPECT_EQ(names, (std::set<std::string>{"proxy-0", "proxy-1"}));
-  for (int i = 0; i < 400; ++i) world.Step();
-  EXPECT_TRUE(PendingProxies(world.hub, drained, world.now).empty());
+  for (int i = 0; i < 400; ++i) simulation.Step();
+  EXPECT_TRUE(PendingProxies(simulation.hub, drained, simulation.now).empty());
 }
 
 TEST(XdsHub, AStaticPoolHasNoLeaseAndItsDrainWaitsForTheProxy) {
   StreamHub hub({});
-  hub.Publish("", Lists({{"p", "1"}}), true, 0);
+  hub.Publish("", EndpointSnapshot({{"p", "1"}}), true, 0);
   ASSERT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
   const auto first = hub.HandleRequest(1, {"a", "", ""}, Subscribe("p"), 0);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_TRUE(first[0].leased_names.empty());
-  const auto drained = Lists({{"p", "2"}});
+  const auto drained = EndpointSnapshot({{"p", "2"}});
   hub.Publish("", drained, true, 100);
   EXPECT_EQ(PendingProxies(hub, drained, 100000).size(), 1u);
   hub.OnStreamClosed(1, 100001);  // a proxy that is lost with it may go on for ever
   EXPECT_EQ(PendingProxies(hub, drained, 1e12).size(), 1u);
   ASSERT_TRUE(hub.OpenStream(2, Session::Variant::kDelta, 2e12));
-  const auto told = hub.HandleRequest(2, {"a", "", ""}, Subscribe("p"), 2e12);
-  ASSERT_EQ(told.size(), 1u);
+  const auto messages = hub.HandleRequest(2, {"a", "", ""}, Subscribe("p"), 2e12);
+  ASSERT_EQ(messages.size(), 1u);
   EXPECT_EQ(PendingProxies(hub, drained, 2e12).size(), 1u);
   XdsRequest ack;
   ack.type = ResourceType::kEndpoint;
-  ack.nonce = told[0].response.nonce;
+  ack.nonce = messages[0].response.nonce;
   hub.HandleRequest(2, {"a", "", ""}, ack, 2e12);
   EXPECT_TRUE(PendingProxies(hub, drained, 2e12).empty());  // it is back, and has taken the drain in
 }
 
 // Guards a strict pool's proxies against an outage that outlasts their lease: they have let go of the list.
 TEST(XdsHub, AProxyWhoseLeaseRanOutIsToldAgainOnceItListens) {
-  World world(9, 1);
-  for (int i = 0; i < 200; ++i) world.Step();
-  world.proxies[0].reads = false;
-  for (int i = 0; i < 1000; ++i) world.Step();
-  EXPECT_FALSE(world.proxies[0].Uses("1", world.now));
-  world.proxies[0].reads = true;
-  for (int i = 0; i < 500; ++i) world.Step();
-  EXPECT_TRUE(world.proxies[0].Uses("1", world.now));
+  Simulation simulation(9, 1);
+  for (int i = 0; i < 200; ++i) simulation.Step();
+  simulation.proxies[0].reads = false;
+  for (int i = 0; i < 1000; ++i) simulation.Step();
+  EXPECT_FALSE(simulation.proxies[0].UsesVersion("1", simulation.now));
+  simulation.proxies[0].reads = true;
+  for (int i = 0; i < 500; ++i) simulation.Step();
+  EXPECT_TRUE(simulation.proxies[0].UsesVersion("1", simulation.now));
 }
 
 TEST(XdsHub, AListThatAProxyHasAlreadyIsSentAgainOnlyWhereItIsALease) {
   StreamHub hub({});
   hub.SetStrictPools({"p"});
-  hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 0);
+  hub.Publish("", EndpointSnapshot({{"p", "1"}, {"q", "1"}}), true, 0);
   ASSERT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
   XdsRequest back;
   back.type = ResourceType::kEndpoint;
   back.subscribe = {"p", "q"};
   back.initial_versions = {{"p", "1"}, {"q", "1"}};
-  const auto told = hub.HandleRequest(1, {"a", "", ""}, back, 0);
-  ASSERT_EQ(told.size(), 1u);
-  ASSERT_EQ(told[0].response.resources.size(), 1u);
-  EXPECT_EQ(told[0].leased_names, std::vector<std::string>{"p"});
+  const auto messages = hub.HandleRequest(1, {"a", "", ""}, back, 0);
+  ASSERT_EQ(messages.size(), 1u);
+  ASSERT_EQ(messages[0].response.resources.size(), 1u);
+  EXPECT_EQ(messages[0].leased_names, std::vector<std::string>{"p"});
   // A pool that is no longer strict, and one that is now.
   hub.SetStrictPools({"q"});
-  const auto again = hub.Publish("", Lists({{"p", "1"}, {"q", "1"}}), true, 1);
+  const auto again = hub.Publish("", EndpointSnapshot({{"p", "1"}, {"q", "1"}}), true, 1);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_EQ(again[0].response.resources.size(), 2u);
   EXPECT_EQ(again[0].leased_names, std::vector<std::string>{"q"});
@@ -256,7 +261,7 @@
 TEST(XdsHub, ADrainAfterARestartWaitsForLeasesOfTheEarlierRun) {
   StreamHub hub({}, /*started_at=*/1000);
   hub.SetStrictPools({"p"});
-  const auto drained = Lists({{"p", "2"}});
+  const auto drained = EndpointSnapshot({{"p", "2"}});
   hub.Publish("", drained, true, 1000);
   ASSERT_EQ(PendingProxies(hub, drained, 1399).size(), 1u);
   EXPECT_EQ(PendingProxies(hub, drained, 1399)[0].lease_expiry, 1400);
@@ -264,42 +269,44 @@
 }
 
 TEST(XdsHub, TwoHundredProxiesThatReconnectAtOnceDelayNoDrain) {
-  World world(5, 200);
-  for (int i = 0; i < 500; ++i) world.Step();
-  for (std::size_t i = 0; i < 200; ++i) world.Drop(i, 0);
-  for (std::size_t i = 0; i < 200; ++i) world.Connect(i);
-  const Millis drained = world.now;
-  const auto list = Lists({{"p", "2"}});
-  world.Deliver(world.hub.Publish("", list, true, world.now));
-  double worst = 0;
+  Simulation simulation(5, 200);
+  for (int i = 0; i < 500; ++i) simulation.Step();
+  for (std::size_t i = 0; i < 200; ++i) simulation.Disconnect(i, 0);
+  for (std::size_t i = 0; i < 200; ++i) simulation.Connect(i);
+  const Millis drained_at = simulation.now;
+  const auto list = EndpointSnapshot({{"p", "2"}});
+  simulation.Deliver(simulation.hub.Publish("", list, true, simulation.now));
+  double longest_use = 0;
   for (int i = 0; i < 600; ++i) {
-    world.Step();
-    for (const Proxy& proxy : world.proxies) {
-      if (proxy.Uses("1", world.now)) worst = std::max(worst, world.now - drained);
+    simulation.Step();
+    for (const Proxy& proxy : simulation.proxies) {
+      if (proxy.UsesVersion("1", simulation.now))
+        longest_use = std::max(longest_use, simulation.now - drained_at);
     }
   }
-  EXPECT_LT(worst, 100);  // all were told
-  EXPECT_TRUE(PendingProxies(world.hub, list, world.now).empty());
+  EXPECT_LT(longest_use, 100);  // all were told
+  EXPECT_TRUE(PendingProxies(simulation.hub, list, simulation.now).empty());
 }
 
 TEST(XdsHub, ChangesThatAreNotUrgentGoTogether) {
-  World world(6, 1);
-  for (int i = 0; i < 300; ++i) world.Step();
-  const auto before = world.hub.statistics().pushes;
+  Simulation simulation(6, 1);
+  for (int i = 0; i < 300; ++i) simulation.Step();
+  const auto before = simulation.hub.statistics().pushes;
   for (int i = 0; i < 150; ++i) {
-    world.Step();
-    world.Deliver(world.hub.Publish("", Lists({{"p", "w" + std::to_string(i)}}), false, world.now));
+    simulation.Step();
+    simulation.Deliver(simulation.hub.Publish("", EndpointSnapshot({{"p", "w" + std::to_string(i)}}), false,
+                                              simulation.now));
   }
-  for (int i = 0; i < 250; ++i) world.Step();
-  EXPECT_EQ(world.hub.statistics().pushes, before + 1);
-  EXPECT_EQ(world.proxies[0].version, "w149");
+  for (int i = 0; i < 250; ++i) simulation.Step();
+  EXPECT_EQ(simulation.hub.statistics().pushes, before + 1);
+  EXPECT_EQ(simulation.proxies[0].version, "w149");
 }
 
 TEST(XdsHub, GroupsSeeWhatIsTheirs) {
   StreamHub hub({});
   hub.SetGroupSelector([](const xds::ProxyNode& node) { return node.cluster; });
-  hub.Publish("edge", Lists({{"p", "edge"}}), true, 0);
-  hub.Publish("inner", Lists({{"p", "inner"}}), true, 0);
+  hub.Publish("edge", EndpointSnapshot({{"p", "edge"}}), true, 0);
+  hub.Publish("inner", EndpointSnapshot({{"p", "inner"}}), true, 0);
   for (const auto& [stream, cluster] :
        std::map<StreamHub::StreamId, std::string>{{1, "edge"}, {2, "inner"}}) {
     ASSERT_TRUE(hub.OpenStream(stream, Session::Variant::kDelta, 0));
@@ -317,7 +324,7 @@
   options.session_limits.max_subscriptions = 1;
   options.ack_timeout = 1000;
   StreamHub hub(options);
-  hub.Publish("", Lists({{"p", "1"}}), true, 0);
+  hub.Publish("", EndpointSnapshot({{"p", "1"}}), true, 0);
   EXPECT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
   EXPECT_TRUE(hub.OpenStream(2, Session::Variant::kDelta, 0));
   EXPECT_FALSE(hub.OpenStream(3, Session::Variant::kDelta, 0));
--- a/tests/xds_load_report_test.cpp
+++ b/tests/xds_load_report_test.cpp
@@ -16,11 +16,11 @@
 using xds::LoadAggregator;
 namespace stats = envoy::service::load_stats::v3;
 
-EndpointLoad Load(double served, double failed, double out = 0, Millis latency = 0) {
+EndpointLoad Load(double served, double failed, double in_progress = 0, Millis latency = 0) {
   EndpointLoad load;
   load.served = served;
   load.failed = failed;
-  load.in_progress = out;
+  load.in_progress = in_progress;
   load.latency = latency;
   return load;
 }
@@ -42,9 +42,9 @@
   metric->set_metric_name("latency_ms");
   metric->set_num_requests_finished_with_metric(10);
   metric->set_total_metric_value(250);
-  auto* const whole = cluster->add_upstream_locality_stats();
-  whole->mutable_locality()->set_sub_zone("host-2");
-  whole->set_total_error_requests(5);
+  auto* const locality = cluster->add_upstream_locality_stats();
+  locality->mutable_locality()->set_sub_zone("host-2");
+  locality->set_total_error_requests(5);
   const auto reports = xds::ParseLoadReports(request);
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].pool, "one");
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -17,7 +17,7 @@
 using xds::ResourceType;
 using xds::StreamHub;
 
-std::shared_ptr<const config::Services> Services() {
+std::shared_ptr<const config::Services> ParsedServices() {
   return Parsed(kListenerAndClasses + R"([[pool]]
 id = "one"
 host = [{ address = "127.0.0.1:9001" }]
@@ -27,14 +27,15 @@
 )" + kRoutesToOneAndTwo);
 }
 
-xds::EndpointAssignments Nodes(EndpointHealth first = EndpointHealth::kHealthy, std::uint32_t weight = 100) {
+xds::EndpointAssignments Assignments(EndpointHealth first = EndpointHealth::kHealthy,
+                                     std::uint32_t weight = 100) {
   const std::vector<xds::EndpointAssignment> nodes = {
       {"a", "", "10.0.0.1", 80, weight, first}, {"b", "", "10.0.0.2", 80, 100, EndpointHealth::kHealthy}};
   return {{"one", nodes}, {"two", nodes}};
 }
 
-struct World {
-  explicit World(xds::ControlServerOptions options = {}) {
+struct Service {
+  explicit Service(xds::ControlServerOptions options = {}) {
     options.hub.lease_duration = 20000;  // of no matter here but where a test says so: busy machines are slow
     options.hub.heartbeat_interval = 50;
     server.emplace(std::move(options));
@@ -42,7 +43,7 @@
       hub.SetStrictPools({"one"});
       return std::vector<StreamHub::OutgoingMessage>();
     });
-    Publish(Nodes(), true);
+    Publish(Assignments(), true);
   }
   void Publish(const xds::EndpointAssignments& nodes, bool urgent) {
     server->RunOnDecisionThread([&](StreamHub& hub, Millis now) {
@@ -58,31 +59,31 @@
     return statistics;
   }
   // Waits for what the server comes to know.
-  bool Await(const std::function<bool(const StreamHub::Statistics&)>& holds) {
+  bool Await(const std::function<bool(const StreamHub::Statistics&)>& condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      if (holds(Statistics())) return true;
+      if (condition(Statistics())) return true;
       std::this_thread::yield();
     }
     return false;
   }
 
-  std::shared_ptr<const config::Services> services = Services();
+  std::shared_ptr<const config::Services> services = ParsedServices();
   std::optional<xds::ControlServer> server;
 };
 
 class XdsServer : public ::testing::TestWithParam<bool> {};
 
 TEST_P(XdsServer, TellsAProxyAllAndThenADrain) {
-  World world;
-  XdsClient client(world.server->port(), GetParam());
+  Service service;
+  XdsClient client(service.server->port(), GetParam());
   ASSERT_TRUE(MakeWhole(client));
   EXPECT_TRUE(client.Routes("one", "10.0.0.1"));
   EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").until);   // a lease
   EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").until);  // none
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() >= 2; }));
   const std::string before = client.Version(ResourceType::kEndpoint, "one");
-  world.Publish(Nodes(EndpointHealth::kDraining), true);
+  service.Publish(Assignments(EndpointHealth::kDraining), true);
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "one") != before; }));
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "two") != before; }));
   EXPECT_FALSE(client.Routes("one", "10.0.0.1"));
@@ -92,32 +93,33 @@
 // At every message boundary of the first update, and inside it: the stream breaks, and the next one makes up
 // for it.
 TEST_P(XdsServer, AProxyThatDisconnectsInTheMiddleOfAnUpdateIsMadeWholeAgain) {
-  World world;
+  Service service;
   for (int boundary = 0; boundary < 6; ++boundary) {
-    XdsClient client(world.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
+    XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
     int seen = 0;
     client.reply = [&](ResourceType, auto&) { return ++seen > boundary ? Reply::kNothing : Reply::kAck; };
     SubscribeToAll(client);
     client.Await([&] { return seen >= std::min(boundary, 4); });
     client.Drop();
     client.reply = [](ResourceType, auto&) { return Reply::kAck; };
-    world.Publish(Nodes(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy), true);
+    service.Publish(Assignments(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy),
+                    true);
     SubscribeToAll(client);
     ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << boundary;
     ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0; })) << boundary;
     EXPECT_EQ(client.Routes("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
   }
-  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 0; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
 // The connection breaks inside a message, wherever: half of it is nothing, and the next stream makes up for
 // it.
 TEST_P(XdsServer, AProxyThatDisconnectsInsideAMessageIsMadeWholeAgain) {
-  World world;
+  Service service;
   for (const std::size_t cut : {100, 300, 500, 700, 900, 1100, 1300, 1500}) {
-    XdsClient client(world.server->port(), GetParam(), "proxy-" + std::to_string(cut));
+    XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(cut));
     {
-      CuttingRelay relay(world.server->port(), cut);
+      CuttingRelay relay(service.server->port(), cut);
       XdsClient cut_off(relay.port(), GetParam(), "proxy-" + std::to_string(cut));
       SubscribeToAll(cut_off);
       // It is cut off, or has got all within so few bytes.
@@ -127,12 +129,12 @@
     ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << cut;
     EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1")) << cut;
   }
-  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 0; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
 TEST_P(XdsServer, ANackKeepsTheOthersGoingAndIsCounted) {
-  World world;
-  XdsClient client(world.server->port(), GetParam());
+  Service service;
+  XdsClient client(service.server->port(), GetParam());
   client.reply = [](ResourceType type, const auto& names) {
     const bool bad =
         type == ResourceType::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
@@ -141,9 +143,9 @@
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
   EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
-  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
   std::optional<xds::Rejection> rejection;
-  world.server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
+  service.server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
     rejection = hub.ProxyStatuses().at(0).last_rejection;
     return std::vector<StreamHub::OutgoingMessage>();
   });
@@ -154,9 +156,9 @@
 TEST_P(XdsServer, AProxyThatAcknowledgesNothingIsDropped) {
   xds::ControlServerOptions options;
   options.hub.ack_timeout = 100;
-  World world(options);
-  XdsClient silent(world.server->port(), GetParam(), "silent"),
-      good(world.server->port(), GetParam(), "good");
+  Service service(options);
+  XdsClient silent(service.server->port(), GetParam(), "silent"),
+      good(service.server->port(), GetParam(), "good");
   silent.reply = [](ResourceType, auto&) { return Reply::kNothing; };
   SubscribeToAll(good);
   SubscribeToAll(silent);
@@ -167,7 +169,7 @@
 }
 
 TEST_P(XdsServer, TwoInstancesTellTheSame) {
-  World one, two;
+  Service one, two;
   XdsClient client(one.server->port(), GetParam()), other(two.server->port(), GetParam());
   SubscribeToAll(client);
   SubscribeToAll(other);
@@ -188,8 +190,8 @@
 TEST(XdsServerLimits, RefusesMoreProxiesThanItsBound) {
   xds::ControlServerOptions options;
   options.hub.max_streams = 1;
-  World world(options);
-  XdsClient first(world.server->port(), true), second(world.server->port(), true);
+  Service service(options);
+  XdsClient first(service.server->port(), true), second(service.server->port(), true);
   ASSERT_TRUE(MakeWhole(first));
   second.Connect();
   ASSERT_TRUE(second.Await([&] { return second.ended(); }));
@@ -200,10 +202,10 @@
 TEST(XdsServerLimits, DropsAProxyThatNeverReads) {
   xds::ControlServerOptions options;
   options.max_queued_bytes = 256 * 1024;
-  World world(options);
-  XdsClient good(world.server->port(), true, "good");
+  Service service(options);
+  XdsClient good(service.server->port(), true, "good");
   ASSERT_TRUE(MakeWhole(good));
-  const auto channel = grpc::CreateChannel("127.0.0.1:" + std::to_string(world.server->port()),
+  const auto channel = grpc::CreateChannel("127.0.0.1:" + std::to_string(service.server->port()),
                                            grpc::InsecureChannelCredentials());
   grpc::ClientContext context;
   const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
@@ -212,23 +214,23 @@
   request.set_type_url(std::string(xds::TypeUrl(ResourceType::kEndpoint)));
   request.add_resource_names_subscribe("one");
   never_read->Write(request);
-  ASSERT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 2; }));
+  ASSERT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 2; }));
   std::vector<xds::EndpointAssignment> many;
   for (int i = 0; i < 4000; ++i)
     many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, EndpointHealth::kHealthy});
   for (std::uint32_t weight = 1; weight < 7; ++weight) {
     many[0].weight = weight;
-    world.Publish({{"one", many}, {"two", {}}}, true);
+    service.Publish({{"one", many}, {"two", {}}}, true);
   }
-  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 1; }));
-  world.Publish(Nodes(EndpointHealth::kDraining), true);
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 1; }));
+  service.Publish(Assignments(EndpointHealth::kDraining), true);
   EXPECT_TRUE(good.Await(
       [&] { return !good.RoutesAsHeld("one", "10.0.0.1") && good.RoutesAsHeld("one", "10.0.0.2"); }));
   context.TryCancel();
 }
 
 TEST(XdsServerLimits, TwoHundredProxiesThatReconnectAtOnceAreAllToldOfADrain) {
-  World world;
+  Service service;
   std::vector<std::unique_ptr<XdsClient>> proxies;
   const auto each = [&](auto work) {  // of the proxies, by eight threads
     std::vector<std::thread> threads;
@@ -241,7 +243,7 @@
   };
   for (int i = 0; i < 200; ++i)
     proxies.push_back(
-        std::make_unique<XdsClient>(world.server->port(), i % 2 == 0, "proxy-" + std::to_string(i)));
+        std::make_unique<XdsClient>(service.server->port(), i % 2 == 0, "proxy-" + std::to_string(i)));
   const auto connect = [](XdsClient& proxy) {
     proxy.Connect();
     proxy.Subscribe(ResourceType::kEndpoint, {"one", "two"});
@@ -251,7 +253,8 @@
     ASSERT_TRUE(proxy->Await([&] { return proxy->RoutesAsHeld("one", "10.0.0.1") || proxy->ended(); }))
         << proxy->answers(ResourceType::kEndpoint);
   for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
-  std::thread drain([&] { world.Publish(Nodes(EndpointHealth::kDraining), true); });  // in the middle of it
+  std::thread drain(
+      [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // in the middle of it
   each([&](XdsClient& proxy) {
     proxy.Drop();
     connect(proxy);
@@ -259,7 +262,7 @@
   drain.join();
   for (const auto& proxy : proxies)
     EXPECT_TRUE(proxy->Await([&] { return !proxy->RoutesAsHeld("one", "10.0.0.1"); }));
-  EXPECT_TRUE(world.Await([](const auto& statistics) { return statistics.streams == 200; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 200; }));
 }
 
 TEST(XdsServerLimits, SpeaksPlaintextOnLoopbackAlone) {
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -19,12 +19,12 @@
 using xds::XdsResponse;
 using Variant = xds::Session::Variant;
 
-xds::ResourcePtr Made(const std::string& name, const std::string& version,
-                      std::set<std::string> clusters = {}) {
+xds::ResourcePtr MakeResource(const std::string& name, const std::string& version,
+                              std::set<std::string> clusters = {}) {
   return std::make_shared<Resource>(Resource{name, version, name + version, std::move(clusters)});
 }
 
-constexpr std::size_t At(ResourceType type) { return static_cast<std::size_t>(type); }
+constexpr std::size_t Index(ResourceType type) { return static_cast<std::size_t>(type); }
 
 std::string VersionOf(const xds::ResourcePtr& resource) { return resource ? resource->version : ""; }
 
@@ -34,15 +34,18 @@
     const Versions& clusters, const Versions& endpoints, const Versions& listeners = {},
     const std::map<std::string, std::pair<std::string, std::set<std::string>>>& routes = {}) {
   std::array<ResourceMap, xds::kResourceTypeCount> all;
-  for (const auto& [name, version] : clusters) all[At(ResourceType::kCluster)][name] = Made(name, version);
-  for (const auto& [name, version] : endpoints) all[At(ResourceType::kEndpoint)][name] = Made(name, version);
-  for (const auto& [name, version] : listeners) all[At(ResourceType::kListener)][name] = Made(name, version);
+  for (const auto& [name, version] : clusters)
+    all[Index(ResourceType::kCluster)][name] = MakeResource(name, version);
+  for (const auto& [name, version] : endpoints)
+    all[Index(ResourceType::kEndpoint)][name] = MakeResource(name, version);
+  for (const auto& [name, version] : listeners)
+    all[Index(ResourceType::kListener)][name] = MakeResource(name, version);
   for (const auto& [name, route] : routes)
-    all[At(ResourceType::kRoute)][name] = Made(name, route.first, route.second);
+    all[Index(ResourceType::kRoute)][name] = MakeResource(name, route.first, route.second);
   return Snapshot(std::move(all));
 }
 
-XdsRequest Ask(ResourceType type, std::vector<std::string> names = {}) {
+XdsRequest Subscribe(ResourceType type, std::vector<std::string> names = {}) {
   XdsRequest request;
   request.type = type;
   request.names = names;
@@ -77,7 +80,7 @@
     Session session(variant);
     const Snapshot one = MakeSnapshot({{"a", "1"}, {"b", "1"}}, {});
     EXPECT_FALSE(session.NextResponse(one));  // nothing was asked for
-    EXPECT_FALSE(session.HandleRequest(Ask(ResourceType::kCluster), one));
+    EXPECT_FALSE(session.HandleRequest(Subscribe(ResourceType::kCluster), one));
     const auto first = session.NextResponse(one);
     ASSERT_TRUE(first);
     EXPECT_EQ(Names(*first), (Strings{"a@1", "b@1"}));
@@ -100,7 +103,7 @@
 TEST(XdsSession, AnswersAWildcardThatFindsNothing) {
   Session session(Variant::kStateOfTheWorld);
   const Snapshot none = MakeSnapshot({}, {});
-  session.HandleRequest(Ask(ResourceType::kListener), none);
+  session.HandleRequest(Subscribe(ResourceType::kListener), none);
   const auto answer = session.NextResponse(none);
   ASSERT_TRUE(answer);
   EXPECT_TRUE(answer->resources.empty());
@@ -109,7 +112,7 @@
 TEST(XdsSession, IgnoresAStaleNonce) {
   Session session(Variant::kStateOfTheWorld);
   const Snapshot one = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
-  session.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), one);
+  session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a"}), one);
   const auto first = session.NextResponse(one);
   const Snapshot two = MakeSnapshot({}, {{"a", "2"}, {"b", "1"}});
   const auto second = session.NextResponse(two);
@@ -132,7 +135,7 @@
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const Snapshot one = MakeSnapshot({}, {{"a", "1"}});
-    session.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), one);
+    session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a"}), one);
     const auto first = session.NextResponse(one);
     const Snapshot two = MakeSnapshot({}, {{"a", "drained"}});
     const auto second = session.NextResponse(two);
@@ -151,7 +154,7 @@
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const Snapshot one = MakeSnapshot({{"bad", "1"}, {"good", "1"}}, {});
-    session.HandleRequest(Ask(ResourceType::kCluster), one);
+    session.HandleRequest(Subscribe(ResourceType::kCluster), one);
     const auto first = session.NextResponse(one);
     session.HandleRequest(Ack(*first), one);
     const Snapshot two = MakeSnapshot({{"bad", "2"}, {"good", "2"}}, {});
@@ -187,10 +190,10 @@
       return std::map<std::string, std::pair<std::string, std::set<std::string>>>{{"r", {version, {to}}}};
     };
     const Snapshot one = MakeSnapshot({{"old", "1"}}, {{"old", "1"}}, {{"l", "1"}}, routes("1", "old"));
-    session.HandleRequest(Ask(ResourceType::kRoute, {"r"}), one);
-    session.HandleRequest(Ask(ResourceType::kListener), one);
-    session.HandleRequest(Ask(ResourceType::kEndpoint, {"old"}), one);
-    session.HandleRequest(Ask(ResourceType::kCluster), one);
+    session.HandleRequest(Subscribe(ResourceType::kRoute, {"r"}), one);
+    session.HandleRequest(Subscribe(ResourceType::kListener), one);
+    session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"old"}), one);
+    session.HandleRequest(Subscribe(ResourceType::kCluster), one);
     std::vector<ResourceType> order;
     Strings endpoints = {"old"};
     const auto names_of = [&](ResourceType type) {
@@ -216,7 +219,7 @@
     const auto names = Names(*made);
     EXPECT_NE(std::find(names.begin(), names.end(), "new@1"), names.end());
     endpoints = {"new"};
-    if (variant == Variant::kDelta) session.HandleRequest(Ask(ResourceType::kEndpoint, {"new"}), two);
+    if (variant == Variant::kDelta) session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"new"}), two);
     for (auto next = session.NextResponse(two); next; next = session.NextResponse(two)) {
       EXPECT_NE(next->type, ResourceType::kRoute);  // not before the cluster is taken in
       session.HandleRequest(Ack(*next, names_of(next->type)), two);
@@ -239,29 +242,29 @@
 TEST(XdsSession, TellsNothingAgainToAProxyThatHasIt) {
   const Snapshot now = MakeSnapshot({{"a", "1"}, {"b", "2"}}, {{"a", "5"}});
   Session delta(Variant::kDelta);
-  XdsRequest request = Ask(ResourceType::kCluster);
+  XdsRequest request = Subscribe(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"b", "2"}};
   delta.HandleRequest(request, now);
   EXPECT_FALSE(delta.NextResponse(now));
-  XdsRequest endpoints = Ask(ResourceType::kEndpoint, {"a"});
+  XdsRequest endpoints = Subscribe(ResourceType::kEndpoint, {"a"});
   endpoints.initial_versions = {{"a", "4"}};
   delta.HandleRequest(endpoints, now);
   EXPECT_EQ(Names(*delta.NextResponse(now)), Strings{"a@5"});
-  Session world(Variant::kStateOfTheWorld);
-  XdsRequest whole = Ask(ResourceType::kCluster);
+  Session state_of_the_world(Variant::kStateOfTheWorld);
+  XdsRequest whole = Subscribe(ResourceType::kCluster);
   whole.version = now.version(ResourceType::kCluster);
   whole.nonce = "of another stream";
-  world.HandleRequest(whole, now);
-  EXPECT_FALSE(world.NextResponse(now));
+  state_of_the_world.HandleRequest(whole, now);
+  EXPECT_FALSE(state_of_the_world.NextResponse(now));
   const Snapshot later = MakeSnapshot({{"a", "1"}, {"b", "3"}}, {{"a", "5"}});
-  EXPECT_EQ(Names(*world.NextResponse(later)), (Strings{"a@1", "b@3"}));
+  EXPECT_EQ(Names(*state_of_the_world.NextResponse(later)), (Strings{"a@1", "b@3"}));
 }
 
 // A resource that was gone while the proxy was away is taken from it.
 TEST(XdsSession, TakesAwayWhatAProxyKeptTooLong) {
   const Snapshot now = MakeSnapshot({{"a", "1"}}, {});
   Session session(Variant::kDelta);
-  XdsRequest request = Ask(ResourceType::kCluster);
+  XdsRequest request = Subscribe(ResourceType::kCluster);
   request.initial_versions = {{"a", "1"}, {"gone", "1"}};
   session.HandleRequest(request, now);
   const auto answer = session.NextResponse(now);
@@ -273,14 +276,14 @@
 TEST(XdsSession, DeltaSubscriptionsComeAndGo) {
   const Snapshot now = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
   Session session(Variant::kDelta);
-  session.HandleRequest(Ask(ResourceType::kEndpoint, {"a", "nowhere"}), now);
+  session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a", "nowhere"}), now);
   const auto first = session.NextResponse(now);
   ASSERT_TRUE(first);
   EXPECT_EQ(Names(*first), Strings{"a@1"});
   EXPECT_EQ(first->removed, Strings{"nowhere"});  // said once that it is not there
   session.HandleRequest(Ack(*first), now);
   EXPECT_FALSE(session.NextResponse(now));
-  session.HandleRequest(Ask(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
+  session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
   EXPECT_EQ(Names(*session.NextResponse(now)), (Strings{"a@1", "b@1"}));
   XdsRequest leave;
   leave.type = ResourceType::kEndpoint;
@@ -297,17 +300,18 @@
   limits.max_unacknowledged_responses = 2;
   const Snapshot none = MakeSnapshot({}, {});
   EXPECT_TRUE(Session(Variant::kDelta, limits)
-                  .HandleRequest(Ask(ResourceType::kEndpoint, {"a", "b", "c", "d"}), none));
+                  .HandleRequest(Subscribe(ResourceType::kEndpoint, {"a", "b", "c", "d"}), none));
   EXPECT_TRUE(Session(Variant::kStateOfTheWorld, limits)
-                  .HandleRequest(Ask(ResourceType::kEndpoint, {"toolong"}), none));
+                  .HandleRequest(Subscribe(ResourceType::kEndpoint, {"toolong"}), none));
   Session session(Variant::kDelta, limits);
-  EXPECT_FALSE(session.HandleRequest(Ask(ResourceType::kEndpoint, {"a", "b"}), none));
-  EXPECT_TRUE(session.HandleRequest(Ask(ResourceType::kEndpoint, {"c", "d"}), none));
-  Session silent(Variant::kDelta, limits);  // acknowledges nothing
-  silent.HandleRequest(Ask(ResourceType::kEndpoint, {"a"}), none);
-  for (int i = 0; i < 2; ++i) EXPECT_TRUE(silent.NextResponse(MakeSnapshot({}, {{"a", std::to_string(i)}})));
-  EXPECT_FALSE(silent.NextResponse(MakeSnapshot({}, {{"a", "9"}})));
-  EXPECT_TRUE(silent.is_blocked());
+  EXPECT_FALSE(session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a", "b"}), none));
+  EXPECT_TRUE(session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"c", "d"}), none));
+  Session unresponsive(Variant::kDelta, limits);  // acknowledges nothing
+  unresponsive.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a"}), none);
+  for (int i = 0; i < 2; ++i)
+    EXPECT_TRUE(unresponsive.NextResponse(MakeSnapshot({}, {{"a", std::to_string(i)}})));
+  EXPECT_FALSE(unresponsive.NextResponse(MakeSnapshot({}, {{"a", "9"}})));
+  EXPECT_TRUE(unresponsive.is_blocked());
 }
 
 // A proxy of the test's own that takes answers late, loses patience, rejects some versions and asks for other
@@ -331,8 +335,8 @@
       return MakeSnapshot(pools, pools);
     };
     Snapshot now = snapshot();
-    session.HandleRequest(Ask(ResourceType::kCluster), now);
-    session.HandleRequest(Ask(ResourceType::kEndpoint, {wanted.begin(), wanted.end()}), now);
+    session.HandleRequest(Subscribe(ResourceType::kCluster), now);
+    session.HandleRequest(Subscribe(ResourceType::kEndpoint, {wanted.begin(), wanted.end()}), now);
     const auto names_of = [&](ResourceType type) {
       return type == ResourceType::kEndpoint && variant == Variant::kStateOfTheWorld
                  ? Strings(wanted.begin(), wanted.end())
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -15,13 +15,13 @@
 
 namespace discovery = envoy::service::discovery::v3;
 
-struct World {
-  World() {
+struct TlsService {
+  TlsService() {
     Save("server.pem", server.Pem());
     Save("server.key", server.KeyPem());
     Save("proxies.pem", authority.Pem());
   }
-  ~World() {
+  ~TlsService() {
     for (const char* const name : {"server.pem", "server.key", "proxies.pem"})
       std::remove(Path(name).c_str());
   }
@@ -45,7 +45,7 @@
     });
   }
   // How a proxy's stream fares that trusts `trusted`: OK if it is answered.
-  grpc::StatusCode Ask(const Certificate& trusted, const Certificate* own) {
+  grpc::StatusCode RequestStatus(const Certificate& trusted, const Certificate* own) {
     grpc::SslCredentialsOptions ssl;
     ssl.pem_root_certs = trusted.Pem();
     if (own != nullptr) {
@@ -75,37 +75,37 @@
 };
 
 TEST(XdsTls, LetsInWhoHoldsACertificateWithAnAllowedName) {
-  World world;
-  world.Start({"edge.example.org"});
-  const auto edge = MakeCertificate("edge.example.org", &world.authority),
-             other = MakeCertificate("other.example.org", &world.authority),
+  TlsService service;
+  service.Start({"edge.example.org"});
+  const auto edge = MakeCertificate("edge.example.org", &service.authority),
+             other = MakeCertificate("other.example.org", &service.authority),
              stranger = MakeCertificate("edge.example.org");
-  EXPECT_EQ(world.Ask(world.authority, &edge), grpc::StatusCode::OK);
-  EXPECT_EQ(world.Ask(world.authority, &other), grpc::StatusCode::PERMISSION_DENIED);
-  EXPECT_EQ(world.Ask(world.authority, nullptr), grpc::StatusCode::UNAVAILABLE);
-  EXPECT_EQ(world.Ask(world.authority, &stranger), grpc::StatusCode::UNAVAILABLE);
+  EXPECT_EQ(service.RequestStatus(service.authority, &edge), grpc::StatusCode::OK);
+  EXPECT_EQ(service.RequestStatus(service.authority, &other), grpc::StatusCode::PERMISSION_DENIED);
+  EXPECT_EQ(service.RequestStatus(service.authority, nullptr), grpc::StatusCode::UNAVAILABLE);
+  EXPECT_EQ(service.RequestStatus(service.authority, &stranger), grpc::StatusCode::UNAVAILABLE);
 }
 
 TEST(XdsTls, TakesANewCertificateWithoutARestart) {
-  World world;
-  world.Start({});
-  const auto edge = MakeCertificate("edge", &world.authority);
+  TlsService service;
+  service.Start({});
+  const auto edge = MakeCertificate("edge", &service.authority);
   const auto next_authority = MakeCertificate("next authority");
-  ASSERT_EQ(world.Ask(world.authority, &edge), grpc::StatusCode::OK);
-  EXPECT_EQ(world.Ask(next_authority, &edge), grpc::StatusCode::UNAVAILABLE);
+  ASSERT_EQ(service.RequestStatus(service.authority, &edge), grpc::StatusCode::OK);
+  EXPECT_EQ(service.RequestStatus(next_authority, &edge), grpc::StatusCode::UNAVAILABLE);
   const auto next = MakeCertificate("control.example.org", &next_authority);
-  World::Save("server.key", next.KeyPem());
-  World::Save("server.pem", next.Pem());
+  TlsService::Save("server.key", next.KeyPem());
+  TlsService::Save("server.pem", next.Pem());
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   grpc::StatusCode code = grpc::StatusCode::UNKNOWN;
   while (code != grpc::StatusCode::OK && std::chrono::steady_clock::now() < end)
-    code = world.Ask(next_authority, &edge);
+    code = service.RequestStatus(next_authority, &edge);
   EXPECT_EQ(code, grpc::StatusCode::OK);
 }
 
 TEST(XdsTls, NamesTheFileThatCannotBeUsed) {
-  World world;
-  config::ControlTls tls{World::Path("server.pem"), World::Path("none.key"), "", {}};
+  TlsService service;
+  config::ControlTls tls{TlsService::Path("server.pem"), TlsService::Path("none.key"), "", {}};
   try {
     xds::MakeCredentials(tls);
     ADD_FAILURE();
