--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -64,7 +64,7 @@
   std::string folder;
 };
 
-TEST(ControlCommand, ServesTellsAndDrains) {
+TEST(ControlCommand, ServesStatusDrainsAndMembershipChanges) {
   ServiceFolder folder;
   Process process(folder.Run());
   const int port = ServiceFolder::PortOf(process);
@@ -96,7 +96,7 @@
   EXPECT_EQ(RunProgram("status").code, 2);
 }
 
-TEST(ControlCommand, ADrainWaitsForAProxyThatDoesNotAnswerAndNamesIt) {
+TEST(ControlCommand, DrainWaitsForAnUnresponsiveProxyAndNamesIt) {
   ServiceFolder folder;
   Process process(folder.Run());
   XdsClient client(ServiceFolder::PortOf(process), true, "mute");
@@ -110,7 +110,7 @@
 }
 
 // Guards the 500 ms: whoever was told nothing by either process must have stopped, and the new one must know.
-TEST(ControlCommand, KilledAndRestartedInTheMiddleOfADrainItKnowsOfTheDrain) {
+TEST(ControlCommand, DrainSurvivesAKillAndRestart) {
   ServiceFolder folder;
   std::optional<Process> process(std::in_place, folder.Run());
   int port = ServiceFolder::PortOf(*process);
@@ -138,7 +138,7 @@
   EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
 }
 
-TEST(ControlCommand, LoadReportsMoveTheWeights) {
+TEST(ControlCommand, LoadReportsChangeTheWeights) {
   ServiceFolder folder;
   Process process(folder.Run());
   const int port = ServiceFolder::PortOf(process);
@@ -155,7 +155,7 @@
   EXPECT_GT(client.Weight("two", "10.0.0.3"), 0u);
 }
 
-TEST(ControlCommand, RefusesToStartWithAFileItCannotUse) {
+TEST(ControlCommand, RefusesToStartWithAnInvalidFile) {
   ServiceFolder folder;
   folder.Save("drains.json", "{\"drained\": 7}");
   Process process(folder.Run());
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -142,7 +142,7 @@
 
 // Guards proxies against a control service that has just started: a list that is not known yet is no empty
 // list.
-TEST(XdsControl, TellsNothingOfAPoolUntilItsMembershipIsKnown) {
+TEST(XdsControlPlane, SendsNothingForAPoolBeforeItsFirstMembershipUpdate) {
   Simulation simulation;
   ASSERT_TRUE(simulation.hub.OpenStream(1, Session::Variant::kDelta, simulation.now));
   XdsRequest back;
@@ -162,7 +162,7 @@
   EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
 }
 
-TEST(XdsControl, DrainsOfMembershipAndOperatorsReachAllPoolsAtOnce) {
+TEST(XdsControlPlane, DrainsByMembershipAndOperatorsApplyToAllPoolsAtOnce) {
   Simulation simulation;
   for (const char* const pool : {"one", "two"})
     simulation.Deliver(simulation.control.UpdateMembership(
@@ -188,7 +188,7 @@
   EXPECT_EQ(simulation.Usable(1, "one").size(), 2u);
 }
 
-TEST(XdsControl, ADrainNamesWhomItWaitsFor) {
+TEST(XdsControlPlane, PendingProxiesOfADrainAreNamed) {
   Simulation simulation;
   for (const char* const pool : {"one", "two"})
     simulation.Deliver(
@@ -219,7 +219,7 @@
     EXPECT_EQ(proxy.proxy, "mute");
 }
 
-TEST(XdsControl, ANodeThatDrainsAndComesBackAtItsAddressUnderANewIdIsUsed) {
+TEST(XdsControlPlane, NodeThatReturnsAtADrainedAddressWithANewIdIsUsed) {
   Simulation simulation;
   simulation.Deliver(
       simulation.control.UpdateMembership("one", {0, true, {Node("a", 1), Node("b", 2)}}, simulation.now));
@@ -241,7 +241,7 @@
   EXPECT_EQ(simulation.Usable(1, "one").count("10.0.0.4"), 0u);
 }
 
-TEST(XdsControl, SmallMovesOfWeightsAreNotSentAndLargeOnesGoTogether) {
+TEST(XdsControlPlane, SmallWeightChangesAreNotSentAndLargeOnesAreCombined) {
   Simulation simulation;
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 20; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
@@ -267,7 +267,7 @@
          { id = "far", zones = ["z9"], each_endpoint = true }]
 )";
 
-TEST(XdsControl, GroupsSeeTheirPoolsAndRoutesThatLeadElsewhereAreTakenByNobody) {
+TEST(XdsControlPlane, GroupsSeeTheirPoolsAndRoutesToOtherPoolsDoNotFallThrough) {
   Simulation simulation(kGroups);
   for (const char* const pool : {"one", "two"})
     simulation.Deliver(simulation.control.UpdateMembership(pool, {0, true, {Node("a", 1)}}, simulation.now));
@@ -282,7 +282,7 @@
             simulation.held[2][ResourceType::kRoute]["routes/in"]);
 }
 
-TEST(XdsControl, EndpointsOneByOneComeAsACollectionAndAChangeTellsOne) {
+TEST(XdsControlPlane, LedsChangeOfOneEndpointSendsOneResource) {
   Simulation simulation(kGroups);
   std::vector<gateway::Host> hosts;
   for (int i = 1; i <= 200; ++i) hosts.push_back(Node("h" + std::to_string(i), i));
@@ -308,7 +308,7 @@
   EXPECT_TRUE(simulation.control.PendingProxies("h8", simulation.now).empty());
 }
 
-TEST(XdsControl, AReloadKeepsWhatPoolsHaveLearnedAndDrainsHold) {
+TEST(XdsControlPlane, ReloadKeepsLearnedStateAndDrains) {
   Simulation simulation;
   for (const char* const pool : {"one", "two"})
     simulation.Deliver(
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -71,7 +71,7 @@
   PoolDecider decider;
 };
 
-TEST(XdsDecider, WithoutReportsSizeAndWarmthAloneCount) {
+TEST(XdsPoolDecider, WithoutReportsWeightsFollowSizeAndWarmUp) {
   DecidedPool pool(3, WarmUpSettings());
   pool.list.hosts[1].server.weight = 2;
   pool.list.hosts[2].server.started_at = pool.now;
@@ -91,7 +91,7 @@
   EXPECT_NEAR(last_permille, 1000, 30);
 }
 
-TEST(XdsDecider, ASlowHostGetsLessAndNeverNothing) {
+TEST(XdsPoolDecider, SlowHostGetsASmallerWeightButNotZero) {
   DecidedPool pool(4);
   pool.slow_hosts = {3};
   for (int i = 0; i < 20; ++i) {
@@ -103,7 +103,7 @@
   EXPECT_GT(pool.EndpointOf(3).weight, pool.EndpointOf(0).weight / 6);
 }
 
-TEST(XdsDecider, AHostThatFailsIsLeftOutTriedAndTrustedAgain) {
+TEST(XdsPoolDecider, FailingHostIsEjectedProbedAndRestored) {
   DecidedPool pool(4);
   for (int i = 0; i < 3; ++i) {
     pool.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {100, 0}}, {3, {0, 100}}});
@@ -133,7 +133,7 @@
 
 // One proxy's word must not empty a pool: beside two honest ones it changes nothing, and alone it
 // takes half of the hosts at the most.
-TEST(XdsDecider, AProxyThatReportsErrorsForHealthyNodesEmptiesNoPool) {
+TEST(XdsPoolDecider, FalseReportsOfOneProxyDoNotEmptyThePool) {
   DecidedPool pool(6);
   std::map<int, std::pair<double, double>> good, bad;
   for (int i = 0; i < 6; ++i) good[i] = {100, 0}, bad[i] = {0, 1000};
@@ -157,7 +157,7 @@
   }
 }
 
-TEST(XdsDecider, ReportsOnOneProcessDoNotCountForTheNext) {
+TEST(XdsPoolDecider, ReportsOnAReplacedProcessDoNotCountForTheNewOne) {
   DecidedPool pool(3);
   for (int i = 0; i < 5; ++i) {
     pool.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {0, 100}}});
@@ -176,7 +176,7 @@
   }
 }
 
-TEST(XdsDecider, ReportsThatFitNoHostAreCountedAndNothingElse) {
+TEST(XdsPoolDecider, ReportsThatMatchNoHostAreCountedAndIgnored) {
   DecidedPool pool(2);
   pool.Report("p", {{7, {0, 100}}});
   pool.Run(1000);
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -132,7 +132,7 @@
   StreamHub::StreamId streams = 0;
 };
 
-TEST(XdsHub, KeepsALeaseAliveWhileAllIsWell) {
+TEST(XdsStreamHub, HeartbeatsRenewLeasesOfResponsiveProxies) {
   Simulation simulation(1, 5);
   for (int i = 0; i < 3000; ++i) {
     simulation.Step();
@@ -143,7 +143,7 @@
 
 // The heart of it: drains at any moment, while streams break at every message boundary, proxies miss the
 // drain, read nothing, answer nothing, or come back. No proxy goes by the old list for 500 ms.
-TEST(XdsHub, NoProxyUsesAListFor500MsAfterADrain) {
+TEST(XdsStreamHub, NoProxyUsesOutdatedEndpointsFor500MsAfterADrain) {
   double longest_use = 0;
   for (unsigned seed = 0; seed < 400; ++seed) {
     Simulation simulation(seed, 8);
@@ -183,7 +183,7 @@
   EXPECT_GT(longest_use, 100);  // some were lost, and went on for as long as their lease ran
 }
 
-TEST(XdsHub, WaitsForProxiesThatMayGoByAnOlderListAndNamesThem) {
+TEST(XdsStreamHub, PendingProxiesNamesThoseThatMayUseOutdatedEndpoints) {
   Simulation simulation(3, 3);
   for (int i = 0; i < 200; ++i) simulation.Step();
   simulation.Disconnect(0, 0);
@@ -202,7 +202,7 @@
   EXPECT_TRUE(PendingProxies(simulation.hub, drained, simulation.now).empty());
 }
 
-TEST(XdsHub, AStaticPoolHasNoLeaseAndItsDrainWaitsForTheProxy) {
+TEST(XdsStreamHub, StaticPoolHasNoLeaseAndItsDrainWaitsForTheProxy) {
   StreamHub hub({});
   hub.Publish("", EndpointSnapshot({{"p", "1"}}), true, 0);
   ASSERT_TRUE(hub.OpenStream(1, Session::Variant::kDelta, 0));
@@ -226,7 +226,7 @@
 }
 
 // Guards a strict pool's proxies against an outage that outlasts their lease: they have let go of the list.
-TEST(XdsHub, AProxyWhoseLeaseRanOutIsToldAgainOnceItListens) {
+TEST(XdsStreamHub, ProxyWithAnExpiredLeaseIsSentTheEndpointsAgainOnceItAnswers) {
   Simulation simulation(9, 1);
   for (int i = 0; i < 200; ++i) simulation.Step();
   simulation.proxies[0].reads = false;
@@ -237,7 +237,7 @@
   EXPECT_TRUE(simulation.proxies[0].UsesVersion("1", simulation.now));
 }
 
-TEST(XdsHub, AListThatAProxyHasAlreadyIsSentAgainOnlyWhereItIsALease) {
+TEST(XdsStreamHub, EndpointsThatAProxyAlreadyHasAreSentAgainOnlyForStrictPools) {
   StreamHub hub({});
   hub.SetStrictPools({"p"});
   hub.Publish("", EndpointSnapshot({{"p", "1"}, {"q", "1"}}), true, 0);
@@ -258,7 +258,7 @@
   EXPECT_EQ(again[0].leased_names, std::vector<std::string>{"q"});
 }
 
-TEST(XdsHub, ADrainAfterARestartWaitsForLeasesOfTheEarlierRun) {
+TEST(XdsStreamHub, DrainAfterARestartWaitsForLeasesOfTheEarlierRun) {
   StreamHub hub({}, /*started_at=*/1000);
   hub.SetStrictPools({"p"});
   const auto drained = EndpointSnapshot({{"p", "2"}});
@@ -268,7 +268,7 @@
   EXPECT_TRUE(PendingProxies(hub, drained, 1400).empty());
 }
 
-TEST(XdsHub, TwoHundredProxiesThatReconnectAtOnceDelayNoDrain) {
+TEST(XdsStreamHub, TwoHundredSimultaneousReconnectsDoNotDelayADrain) {
   Simulation simulation(5, 200);
   for (int i = 0; i < 500; ++i) simulation.Step();
   for (std::size_t i = 0; i < 200; ++i) simulation.Disconnect(i, 0);
@@ -288,7 +288,7 @@
   EXPECT_TRUE(PendingProxies(simulation.hub, list, simulation.now).empty());
 }
 
-TEST(XdsHub, ChangesThatAreNotUrgentGoTogether) {
+TEST(XdsStreamHub, ChangesThatAreNotUrgentAreCombined) {
   Simulation simulation(6, 1);
   for (int i = 0; i < 300; ++i) simulation.Step();
   const auto before = simulation.hub.statistics().pushes;
@@ -302,7 +302,7 @@
   EXPECT_EQ(simulation.proxies[0].version, "w149");
 }
 
-TEST(XdsHub, GroupsSeeWhatIsTheirs) {
+TEST(XdsStreamHub, ProxiesReceiveTheSnapshotOfTheirGroup) {
   StreamHub hub({});
   hub.SetGroupSelector([](const xds::ProxyNode& node) { return node.cluster; });
   hub.Publish("edge", EndpointSnapshot({{"p", "edge"}}), true, 0);
@@ -318,7 +318,7 @@
   EXPECT_TRUE(hub.HandleRequest(3, {"x", "unknown", ""}, Subscribe("p"), 0).empty());
 }
 
-TEST(XdsHub, EndsStreamsThatGoBeyondTheirBounds) {
+TEST(XdsStreamHub, StreamsThatExceedLimitsAreClosed) {
   xds::StreamHubOptions options;
   options.max_streams = 2;
   options.session_limits.max_subscriptions = 1;
--- a/tests/xds_load_report_test.cpp
+++ b/tests/xds_load_report_test.cpp
@@ -25,7 +25,7 @@
   return load;
 }
 
-TEST(XdsLoadReport, ReadsEndpointsLocalitiesAndLatencies) {
+TEST(XdsLoadReport, ParsesEndpointsLocalitiesAndLatencies) {
   stats::LoadStatsRequest request;
   auto* const cluster = request.add_cluster_stats();
   cluster->set_cluster_name("one");
@@ -59,7 +59,7 @@
   EXPECT_EQ(reports[0].endpoints[1].failed, 5);
 }
 
-TEST(XdsLoadReport, CutsWhatNoProxyCanHaveSeenAndStaysWithinItsBounds) {
+TEST(XdsLoadReport, ClampsImplausibleValuesAndStaysWithinItsLimits) {
   stats::LoadStatsRequest request;
   for (int c = 0; c < 3; ++c) {
     auto* const cluster = request.add_cluster_stats();
@@ -84,7 +84,7 @@
   EXPECT_EQ(reports[0].endpoints[0].latency, 0);
 }
 
-TEST(XdsLoadReport, OutlivesMessagesOfRandomBytes) {
+TEST(XdsLoadReport, RandomBytesGiveFiniteValues) {
   std::mt19937 random(11);
   for (int i = 0; i < 3000; ++i) {
     std::string bytes(random() % 200, '\0');
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(XdsLoadAggregator, AMinorityOfLiarsMakesNoHealthyHostLookIll) {
+TEST(XdsLoadAggregator, FalseReportsOfAMinorityDoNotChangeAHealthyHostsEstimate) {
   for (int proxies = 2; proxies <= 9; ++proxies) {
     for (int liars = 0; liars <= proxies; ++liars) {
       LoadAggregator aggregator;
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(XdsLoadAggregator, FindsTheLatencyByLittlesLawWhereNoneIsTold) {
+TEST(XdsLoadAggregator, UsesLittlesLawWhereNoLatencyIsReported) {
   LoadAggregator aggregator;
   aggregator.AddReport("a", "p", Load(1000, 0, 20), 1000, 0);  // 20 out at 1 a ms
   EXPECT_NEAR(aggregator.Estimate("a", 0, 0)->latency, 20, 1e-9);
@@ -123,7 +123,7 @@
   EXPECT_EQ(aggregator.Estimate("a", 0, 0)->latency, 7);
 }
 
-TEST(XdsLoadAggregator, OldWordsFadeAndFewProxiesAreRemembered) {
+TEST(XdsLoadAggregator, ReportsExpireAndTheNumberOfReportersIsBounded) {
   LoadAggregator aggregator;
   aggregator.AddReport("a", "old", Load(0, 10), 1000, 0);
   EXPECT_TRUE(aggregator.Estimate("a", 0, 9000));
--- a/tests/xds_resources_test.cpp
+++ b/tests/xds_resources_test.cpp
@@ -86,7 +86,7 @@
   return "none";
 }
 
-TEST(XdsResources, RouteAsTheGatewaysOwnTableDoes) {
+TEST(XdsResources, ProxiesRouteLikeTheGatewaysRouteTable) {
   std::mt19937 random(9);
   const std::vector<std::string> hosts = {"a.org", "b.a.org", "*.org", "*.a.org", "c.net"};
   const std::vector<std::string> paths = {"/a", "/a/b", "/b", "/ab"};
@@ -133,7 +133,7 @@
   EXPECT_GT(matched, 3000u);
 }
 
-TEST(XdsResources, ResendWhatIsSafeAndNeverWhatMayHaveRun) {
+TEST(XdsResources, RetryPolicyCoversSafeRequestsAndFailedConnectionsOnly) {
   const auto services = File(
       "[[route]]\nid = \"v\"\nmethods = [\"GET\"]\npool = \"one\"\nclass = \"view\"\n"
       "[[route]]\nid = \"c\"\npool = \"one\"\nclass = \"change\"\n");
@@ -151,7 +151,7 @@
   EXPECT_TRUE(cluster.eds_cluster_config().eds_config().has_ads());
 }
 
-TEST(XdsResources, HaveVersionsOfTheirContentAlone) {
+TEST(XdsResources, VersionsDependOnContentOnly) {
   const auto services = File("[[route]]\npool = \"one\"\nclass = \"view\"\n");
   xds::EndpointAssignments one = {{"one",
                                    {{"a", "z", "10.0.0.1", 80, 100, EndpointHealth::kHealthy},
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -74,7 +74,7 @@
 
 class XdsServer : public ::testing::TestWithParam<bool> {};
 
-TEST_P(XdsServer, TellsAProxyAllAndThenADrain) {
+TEST_P(XdsServer, SendsAllResourcesAndThenADrain) {
   Service service;
   XdsClient client(service.server->port(), GetParam());
   ASSERT_TRUE(MakeWhole(client));
@@ -92,7 +92,7 @@
 
 // At every message boundary of the first update, and inside it: the stream breaks, and the next one makes up
 // for it.
-TEST_P(XdsServer, AProxyThatDisconnectsInTheMiddleOfAnUpdateIsMadeWholeAgain) {
+TEST_P(XdsServer, ProxyThatDisconnectsBetweenMessagesGetsAllAfterReconnecting) {
   Service service;
   for (int boundary = 0; boundary < 6; ++boundary) {
     XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
@@ -114,7 +114,7 @@
 
 // The connection breaks inside a message, wherever: half of it is nothing, and the next stream makes up for
 // it.
-TEST_P(XdsServer, AProxyThatDisconnectsInsideAMessageIsMadeWholeAgain) {
+TEST_P(XdsServer, ProxyThatDisconnectsInsideAMessageGetsAllAfterReconnecting) {
   Service service;
   for (const std::size_t cut : {100, 300, 500, 700, 900, 1100, 1300, 1500}) {
     XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(cut));
@@ -132,7 +132,7 @@
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
-TEST_P(XdsServer, ANackKeepsTheOthersGoingAndIsCounted) {
+TEST_P(XdsServer, NackDoesNotHoldBackOtherResourcesAndIsCounted) {
   Service service;
   XdsClient client(service.server->port(), GetParam());
   client.reply = [](ResourceType type, const auto& names) {
@@ -153,7 +153,7 @@
   EXPECT_EQ(rejection->reason, "the stand-in does not like it");
 }
 
-TEST_P(XdsServer, AProxyThatAcknowledgesNothingIsDropped) {
+TEST_P(XdsServer, ProxyThatDoesNotAcknowledgeIsDisconnected) {
   xds::ControlServerOptions options;
   options.hub.ack_timeout = 100;
   Service service(options);
@@ -168,7 +168,7 @@
   EXPECT_FALSE(good.ended());
 }
 
-TEST_P(XdsServer, TwoInstancesTellTheSame) {
+TEST_P(XdsServer, TwoInstancesSendTheSameVersions) {
   Service one, two;
   XdsClient client(one.server->port(), GetParam()), other(two.server->port(), GetParam());
   SubscribeToAll(client);
@@ -187,7 +187,7 @@
                            return info.param ? "Delta" : "StateOfTheWorld";
                          });
 
-TEST(XdsServerLimits, RefusesMoreProxiesThanItsBound) {
+TEST(XdsServerLimits, RefusesMoreStreamsThanItsLimit) {
   xds::ControlServerOptions options;
   options.hub.max_streams = 1;
   Service service(options);
@@ -199,7 +199,7 @@
 }
 
 // A proxy that reads nothing is dropped, not buffered, and the others are told as ever.
-TEST(XdsServerLimits, DropsAProxyThatNeverReads) {
+TEST(XdsServerLimits, DisconnectsAProxyThatNeverReads) {
   xds::ControlServerOptions options;
   options.max_queued_bytes = 256 * 1024;
   Service service(options);
@@ -229,7 +229,7 @@
   context.TryCancel();
 }
 
-TEST(XdsServerLimits, TwoHundredProxiesThatReconnectAtOnceAreAllToldOfADrain) {
+TEST(XdsServerLimits, DrainReachesTwoHundredProxiesThatReconnectAtOnce) {
   Service service;
   std::vector<std::unique_ptr<XdsClient>> proxies;
   const auto each = [&](auto work) {  // of the proxies, by eight threads
@@ -265,7 +265,7 @@
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 200; }));
 }
 
-TEST(XdsServerLimits, SpeaksPlaintextOnLoopbackAlone) {
+TEST(XdsServerLimits, RefusesPlaintextOutsideLoopback) {
   xds::ControlServerOptions options;
   options.address = "0.0.0.0:0";
   EXPECT_THROW(xds::ControlServer{options}, std::runtime_error);
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -75,7 +75,7 @@
 }
 using Strings = std::vector<std::string>;
 
-TEST(XdsSession, TellsTheWholeListToAWildcardAndThenOnlyWhatChanges) {
+TEST(XdsSession, WildcardGetsAllResourcesAndThenOnlyChanges) {
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const Snapshot one = MakeSnapshot({{"a", "1"}, {"b", "1"}}, {});
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(XdsSession, AnswersAWildcardThatFindsNothing) {
+TEST(XdsSession, WildcardWithoutResourcesGetsAnEmptyResponse) {
   Session session(Variant::kStateOfTheWorld);
   const Snapshot none = MakeSnapshot({}, {});
   session.HandleRequest(Subscribe(ResourceType::kListener), none);
@@ -150,7 +150,7 @@
 }
 
 // One bad resource of two that changed: the good one arrives, the last accepted version of the bad one stays.
-TEST(XdsSession, ANackOfOneOfTwoChangedResourcesDoesNotHoldBackTheOther) {
+TEST(XdsSession, NackOfOneOfTwoChangedResourcesDoesNotHoldBackTheOther) {
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const Snapshot one = MakeSnapshot({{"bad", "1"}, {"good", "1"}}, {});
@@ -183,7 +183,7 @@
   }
 }
 
-TEST(XdsSession, MakesBeforeItBreaks) {
+TEST(XdsSession, SendsClustersBeforeRoutesAndRemovesThemAfter) {
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const auto routes = [](const std::string& version, const std::string& to) {
@@ -239,7 +239,7 @@
 }
 
 // A restart of the control service, or a proxy that comes over from another instance: nothing is told again.
-TEST(XdsSession, TellsNothingAgainToAProxyThatHasIt) {
+TEST(XdsSession, ReconnectedProxyIsNotSentWhatItAlreadyHas) {
   const Snapshot now = MakeSnapshot({{"a", "1"}, {"b", "2"}}, {{"a", "5"}});
   Session delta(Variant::kDelta);
   XdsRequest request = Subscribe(ResourceType::kCluster);
@@ -261,7 +261,7 @@
 }
 
 // A resource that was gone while the proxy was away is taken from it.
-TEST(XdsSession, TakesAwayWhatAProxyKeptTooLong) {
+TEST(XdsSession, ResourceRemovedWhileAProxyWasDisconnectedIsRemovedFromIt) {
   const Snapshot now = MakeSnapshot({{"a", "1"}}, {});
   Session session(Variant::kDelta);
   XdsRequest request = Subscribe(ResourceType::kCluster);
@@ -273,7 +273,7 @@
   EXPECT_EQ(answer->removed, Strings{"gone"});
 }
 
-TEST(XdsSession, DeltaSubscriptionsComeAndGo) {
+TEST(XdsSession, DeltaSubscribesAndUnsubscribes) {
   const Snapshot now = MakeSnapshot({}, {{"a", "1"}, {"b", "1"}});
   Session session(Variant::kDelta);
   session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a", "nowhere"}), now);
@@ -293,7 +293,7 @@
   EXPECT_EQ(Names(*session.NextResponse(later)), (Strings{"b@2", "nowhere@1"}));
 }
 
-TEST(XdsSession, BoundsWhatAProxyMayMakeGrow) {
+TEST(XdsSession, LimitsSubscriptionsNamesAndUnacknowledgedResponses) {
   xds::SessionLimits limits;
   limits.max_subscriptions = 3;
   limits.max_name_bytes = 5;
@@ -316,7 +316,7 @@
 
 // A proxy of the test's own that takes answers late, loses patience, rejects some versions and asks for other
 // names, all by chance: in the end it holds what it should, and was never told of a route before its cluster.
-TEST(XdsSession, ConvergesWithAProxyThatActsByChance) {
+TEST(XdsSession, ConvergesWithARandomlyBehavingProxy) {
   for (unsigned seed = 0; seed < 300; ++seed) {
     std::mt19937 random(seed);
     const Variant variant = seed % 2 == 0 ? Variant::kStateOfTheWorld : Variant::kDelta;
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -74,7 +74,7 @@
   std::optional<xds::ControlServer> control;
 };
 
-TEST(XdsTls, LetsInWhoHoldsACertificateWithAnAllowedName) {
+TEST(XdsTls, AcceptsOnlySignedCertificatesWithAnAllowedName) {
   TlsService service;
   service.Start({"edge.example.org"});
   const auto edge = MakeCertificate("edge.example.org", &service.authority),
@@ -86,7 +86,7 @@
   EXPECT_EQ(service.RequestStatus(service.authority, &stranger), grpc::StatusCode::UNAVAILABLE);
 }
 
-TEST(XdsTls, TakesANewCertificateWithoutARestart) {
+TEST(XdsTls, ReloadsAChangedCertificateWithoutARestart) {
   TlsService service;
   service.Start({});
   const auto edge = MakeCertificate("edge", &service.authority);
@@ -103,7 +103,7 @@
   EXPECT_EQ(code, grpc::StatusCode::OK);
 }
 
-TEST(XdsTls, NamesTheFileThatCannotBeUsed) {
+TEST(XdsTls, ErrorNamesTheFileThatCannotBeRead) {
   TlsService service;
   config::ControlTls tls{TlsService::Path("server.pem"), TlsService::Path("none.key"), "", {}};
   try {
