--- a/tests/standins/certificates.hpp
+++ b/tests/standins/certificates.hpp
@@ -1,4 +1,4 @@
-// Certificates for tests, made anew each time: an authority, and what it signs.
+// Creates certificates for tests: certificate authorities and certificates signed by them.
 #ifndef OPALSWITCH_TESTS_STANDINS_CERTIFICATES_HPP_
 #define OPALSWITCH_TESTS_STANDINS_CERTIFICATES_HPP_
 
@@ -37,28 +37,29 @@
   }
 };
 
-// Valid for an hour; `name` is its DNS name too. Signed by itself if there is no `by`: then an authority.
-inline Certificate MakeCertificate(const std::string& name, const Certificate* by = nullptr) {
-  static long serials = 0;
-  Certificate made{{EVP_EC_gen("P-256"), EVP_PKEY_free}, {X509_new(), X509_free}};
-  X509* const x = made.x509.get();
-  X509_set_version(x, 2);
-  ASN1_INTEGER_set(X509_get_serialNumber(x), ++serials);
-  X509_gmtime_adj(X509_getm_notBefore(x), -60);
-  X509_gmtime_adj(X509_getm_notAfter(x), 3600);
-  X509_set_pubkey(x, made.key.get());
-  X509_NAME_add_entry_by_txt(X509_get_subject_name(x), "CN", MBSTRING_ASC,
+// Creates a certificate that is valid for an hour, with `name` as its common name and DNS name. Without
+// `issuer` it is a self-signed authority.
+inline Certificate MakeCertificate(const std::string& name, const Certificate* issuer = nullptr) {
+  static long last_serial = 0;
+  Certificate certificate{{EVP_EC_gen("P-256"), EVP_PKEY_free}, {X509_new(), X509_free}};
+  X509* const x509 = certificate.x509.get();
+  X509_set_version(x509, 2);
+  ASN1_INTEGER_set(X509_get_serialNumber(x509), ++last_serial);
+  X509_gmtime_adj(X509_getm_notBefore(x509), -60);
+  X509_gmtime_adj(X509_getm_notAfter(x509), 3600);
+  X509_set_pubkey(x509, certificate.key.get());
+  X509_NAME_add_entry_by_txt(X509_get_subject_name(x509), "CN", MBSTRING_ASC,
                              reinterpret_cast<const unsigned char*>(name.c_str()), -1, -1, 0);
-  X509_set_issuer_name(x, X509_get_subject_name(by != nullptr ? by->x509.get() : x));
-  const auto extend = [&](int nid, const std::string& value) {
+  X509_set_issuer_name(x509, X509_get_subject_name(issuer != nullptr ? issuer->x509.get() : x509));
+  const auto add_extension = [&](int nid, const std::string& value) {
     X509_EXTENSION* const extension = X509V3_EXT_conf_nid(nullptr, nullptr, nid, value.c_str());
-    X509_add_ext(x, extension, -1);
+    X509_add_ext(x509, extension, -1);
     X509_EXTENSION_free(extension);
   };
-  extend(NID_basic_constraints, by != nullptr ? "CA:FALSE" : "critical,CA:TRUE");
-  extend(NID_subject_alt_name, "DNS:" + name);
-  X509_sign(x, by != nullptr ? by->key.get() : made.key.get(), EVP_sha256());
-  return made;
+  add_extension(NID_basic_constraints, issuer != nullptr ? "CA:FALSE" : "critical,CA:TRUE");
+  add_extension(NID_subject_alt_name, "DNS:" + name);
+  X509_sign(x509, issuer != nullptr ? issuer->key.get() : certificate.key.get(), EVP_sha256());
+  return certificate;
 }
 
 }  // namespace opalswitch::testing
--- a/tests/standins/xds_client.hpp
+++ b/tests/standins/xds_client.hpp
@@ -1,5 +1,6 @@
-// A stand-in proxy: speaks ADS in either form over gRPC, keeps what it is told, goes by a list of endpoints
-// only while its lease runs, and misbehaves on command. Written from the published protocol.
+// A stand-in proxy for tests. It speaks either ADS variant over gRPC, keeps the resources that it receives,
+// uses endpoints only while their lease is valid, and misbehaves on request. Written from the published
+// protocol.
 #ifndef OPALSWITCH_TESTS_STANDINS_XDS_CLIENT_HPP_
 #define OPALSWITCH_TESTS_STANDINS_XDS_CLIENT_HPP_
 
@@ -34,9 +35,9 @@
   using Clock = std::chrono::steady_clock;
   struct Held {
     std::string version, bytes;
-    std::optional<Clock::time_point> until;  // of its lease
+    std::optional<Clock::time_point> until;  // expiry of its lease, if it has one
   };
-  // What it does with an answer.
+  // How it reacts to a response.
   enum class Reply { kAck, kNack, kNothing, kStale };
 
   XdsClient(int port, bool delta, std::string id = "proxy", std::string cluster = "edge")
@@ -45,7 +46,8 @@
   XdsClient(const XdsClient&) = delete;
   XdsClient& operator=(const XdsClient&) = delete;
 
-  // Opens a stream, with a connection of its own. What it holds already it says (delta).
+  // Opens a stream on a connection of its own. In the delta variant, Subscribe then reports the resources
+  // already held.
   void Connect() {
     ignores_ = false;
     grpc::ChannelArguments arguments;
@@ -54,7 +56,7 @@
                                          grpc::InsecureChannelCredentials(), arguments);
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel_);
     context_ = std::make_unique<grpc::ClientContext>();
-    context_->set_wait_for_ready(true);  // a connection that fails is tried again, as by any proxy
+    context_->set_wait_for_ready(true);  // retries failed connections, as proxies do
     ended_ = false;
     if (delta_) {
       changes_ = stub->DeltaAggregatedResources(context_.get());
@@ -64,7 +66,7 @@
     first_ = true;
     reader_ = std::thread([this] { Read(); });
   }
-  // Ends the stream without a word.
+  // Cancels the stream.
   void Drop() {
     if (context_) context_->TryCancel();
     if (reader_.joinable()) reader_.join();
@@ -89,12 +91,12 @@
     changes_->Write(request);
   }
 
-  // Waits until `holds` is true of what it has been told; false after half a minute.
+  // Waits until the condition holds for what it has received; returns false after 30 s.
   bool Await(const std::function<bool()>& holds) {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, std::chrono::seconds(30), holds);
   }
-  // These are for `holds`, and for whoever has waited.
+  // The following are for use in conditions of Await, and after Await.
   const std::map<std::string, Held>& held(xds::ResourceType type) { return held_[type]; }
   std::string Version(xds::ResourceType type, const std::string& name) {
     const auto found = held_[type].find(name);
@@ -105,16 +107,17 @@
   int answers(xds::ResourceType type) { return answers_[type]; }
   int heartbeats() const { return heartbeats_; }
   std::vector<xds::ResourceType> order() const { return order_; }
-  // From now on answers are neither read nor answered; what it holds it goes by, until its lease is over.
+  // From now on, ignores all responses. It uses what it holds until the lease expires.
   void Ignore() { ignores_ = true; }
 
-  // From now on it keeps when it may have routed to which endpoint of the pool, if its address begins so. To
-  // be called before Connect.
+  // Records from now on when it may have routed to which of the pool's endpoints whose addresses start with
+  // `begin`. To be called before Connect.
   void RecordUse(std::string pool, std::string begin) {
     recorded_pool_ = std::move(pool);
     recorded_begin_ = std::move(begin);
   }
-  // The last moment of the span at which it may have routed to the endpoint; nothing if it could at none.
+  // Returns the last time between `from` and `to` at which it may have routed to the endpoint; nullopt if at
+  // none.
   std::optional<Clock::time_point> LastUse(const std::string& address, Clock::time_point from,
                                            Clock::time_point to) {
     const std::lock_guard lock(mutex_);
@@ -126,13 +129,13 @@
       if (next != uses_.end()) end = std::min(end, next->since);
       if (end > from && at->since < to) last = end;
     }
-    // What ended long ago is asked for no more.
+    // Older entries are not queried any more.
     while (uses_.size() > 1 && std::next(uses_.begin())->since < from - std::chrono::seconds(5))
       uses_.pop_front();
     return last;
   }
 
-  // Whether it may route to the endpoint now. `locked`: by `holds`.
+  // Whether it may route to the endpoint now. `locked`: set when called from a condition of Await.
   bool Routes(const std::string& pool, const std::string& address, bool locked = false) {
     std::unique_lock lock(mutex_, std::defer_lock);
     if (!locked) lock.lock();
@@ -141,12 +144,12 @@
     if (found->second.until && Clock::now() >= *found->second.until) return false;
     return WeightIn(found->second, address) > 0;
   }
-  // The same, whatever its lease: for what it was told. From `holds`, or once it has waited.
+  // The same regardless of the lease. For conditions of Await, and after Await.
   bool RoutesAsHeld(const std::string& pool, const std::string& address) {
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
     return found != held_[xds::ResourceType::kEndpoint].end() && WeightIn(found->second, address) > 0;
   }
-  // Of an endpoint that it may route to; 0 if it may not.
+  // Returns the weight of an endpoint that it may route to; 0 for others.
   std::uint32_t Weight(const std::string& pool, const std::string& address) {
     const std::lock_guard lock(mutex_);
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
@@ -171,7 +174,7 @@
     return 0;
   }
 
-  // What it goes by from now on.
+  // Records the endpoints that it uses from now on.
   void Record() {
     Use use;
     use.since = Clock::now();
@@ -249,7 +252,7 @@
 
   static std::string NameOf(xds::ResourceType type, const discovery::Resource& resource) {
     if (!resource.name().empty()) return resource.name();
-    envoy::config::endpoint::v3::ClusterLoadAssignment list;  // of all types the name is field 1
+    envoy::config::endpoint::v3::ClusterLoadAssignment list;  // the name is field 1 of all types
     return list.ParseFromString(resource.resource().value()) && type <= xds::ResourceType::kRoute
                ? list.cluster_name()
                : "";
@@ -333,7 +336,8 @@
   grpc::Status status_;
 };
 
-// Connects the proxy, to be told of all that a file with pools "one" and "two" and a listener "in" has.
+// Connects the proxy and subscribes to all resources of a file with pools "one" and "two" and a listener
+// "in".
 inline void SubscribeToAll(XdsClient& client) {
   client.Connect();
   client.Subscribe(xds::ResourceType::kCluster);
@@ -342,7 +346,7 @@
   client.Subscribe(xds::ResourceType::kRoute, {"routes/in"});
 }
 
-// Whether it was told of all of that. From `holds`, or once it has waited.
+// Whether it has received all of these. For conditions of Await, and after Await.
 inline bool IsWhole(XdsClient& client) {
   return client.held(xds::ResourceType::kCluster).size() == 2 &&
          client.held(xds::ResourceType::kEndpoint).size() == 2 &&
@@ -355,7 +359,7 @@
   return client.Await([&] { return IsWhole(client); });
 }
 
-// A proxy's load reports, true or not.
+// Sends load reports as a proxy does, correct or false ones.
 class LoadReporter {
  public:
   struct Counts {
@@ -371,7 +375,7 @@
     if (stream_) stream_->Finish();
   }
 
-  // Gives how often it is asked to report, in ms; 0 if it is asked nothing.
+  // Opens the stream and returns the requested reporting interval in ms; 0 if there is no response.
   int Begin() {
     stream_ = stub_->StreamLoadStats(&context_);
     stats::LoadStatsRequest request;
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -1,5 +1,5 @@
-// forkwick-control as a process: served from a file, asked and told by its command line, killed and restarted
-// in the middle of a drain.
+// Tests of the forkwick-control program: it serves a file, is operated by its command line, and is killed and
+// restarted during a drain.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -45,7 +45,7 @@
     std::ofstream(folder + "/" + name + ".new") << text;
     std::rename((folder + "/" + name + ".new").c_str(), (folder + "/" + name).c_str());
   }
-  // The port that the process serves at, once it does.
+  // Waits until the process listens and returns its port.
   static int PortOf(const Process& process) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
@@ -87,12 +87,12 @@
   EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).code, 1);
   EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).code, 0);
   ASSERT_TRUE(client.Await([&] { return client.RoutesAsHeld("one", "10.0.0.1"); }));
-  // Its membership is followed.
+  // A change of the membership file is applied.
   folder.Save("hosts.json", ServiceFolder::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
   ASSERT_TRUE(client.Await([&] { return !client.RoutesAsHeld("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 1);  // nobody answers
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 1);  // the service has ended
   EXPECT_EQ(RunProgram("status").code, 2);
 }
 
@@ -102,25 +102,26 @@
   XdsClient client(ServiceFolder::PortOf(process), true, "mute");
   client.reply = [](ResourceType, auto&) { return XdsClient::Reply::kNothing; };
   client.Connect();
-  client.Subscribe(ResourceType::kEndpoint, {"two"});  // static: no lease ends the wait
+  client.Subscribe(ResourceType::kEndpoint, {"two"});  // a static pool: no lease ends the wait
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
   const Said drain = RunProgram("drain a --wait --timeout 4 " + folder.Socket());
   EXPECT_EQ(drain.code, 4) << drain.text;
   EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
 }
 
-// Guards the 500 ms: whoever was told nothing by either process must have stopped, and the new one must know.
+// Guards the 500 ms limit of a drain across a crash: a proxy that neither process reaches must stop by its
+// lease, and the restarted process must know of the drain.
 TEST(ControlCommand, DrainSurvivesAKillAndRestart) {
   ServiceFolder folder;
   std::optional<Process> process(std::in_place, folder.Run());
   int port = ServiceFolder::PortOf(*process);
-  folder.Save("f.toml", ServiceFolder::Text(port));  // the same one again after the restart
+  folder.Save("f.toml", ServiceFolder::Text(port));  // the same port after the restart
   XdsClient client(port, true, "proxy-1"), unresponsive(port, true, "deaf");
   ASSERT_TRUE(MakeWhole(client));
   unresponsive.Connect();
   unresponsive.Subscribe(ResourceType::kEndpoint, {"one"});
   ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.Routes("one", "10.0.0.1", true); }));
-  // From here on it takes nothing in; it goes by its lease.
+  // From here on it ignores all messages and uses its endpoints until their lease expires.
   unresponsive.Ignore();
   ASSERT_EQ(RunProgram("drain a " + folder.Socket()).code, 0);
   process->Kill();
@@ -131,7 +132,7 @@
   ASSERT_EQ(ServiceFolder::PortOf(*process), port);
   const Said drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_FALSE(unresponsive.Routes("one", "10.0.0.1"));  // its lease has run out before the wait was over
+  EXPECT_FALSE(unresponsive.Routes("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0 && IsWhole(client); }));
   EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
@@ -146,7 +147,7 @@
   ASSERT_TRUE(MakeWhole(client));
   const std::uint32_t before = client.Weight("two", "10.0.0.3");
   LoadReporter reporter(port, "proxy-1");
-  EXPECT_EQ(reporter.Begin(), 100);  // ms, as the file says
+  EXPECT_EQ(reporter.Begin(), 100);  // ms, from the file
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   while (client.Weight("two", "10.0.0.3") * 2 > before && std::chrono::steady_clock::now() < end) {
     reporter.Report("two", {{"10.0.0.1", {100, 0, 10}}, {"10.0.0.3", {100, 0, 80}}});
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -1,5 +1,5 @@
-// The control service's decisions from file, membership, reports and operators to what proxies are told, in a
-// time of the test's own.
+// Tests of the control plane in simulated time: from file, membership, reports and operators to the resources
+// that proxies receive.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -39,7 +39,7 @@
   return host;
 }
 
-// Proxies that take in all that they are told, at once.
+// A control plane, and proxies that accept every message at once.
 struct Simulation {
   explicit Simulation(const std::string& more = "")
       : control(hub, 1, [this](const std::string& line) { log.push_back(line); }) {
@@ -106,7 +106,7 @@
       Deliver(hub.Tick(now));
     }
   }
-  // Weights of the endpoints that the proxy may send to, by address.
+  // Returns the weights of the endpoints that the proxy may send to, by address.
   std::map<std::string, std::uint32_t> Usable(StreamHub::StreamId stream, const std::string& pool) {
     std::map<std::string, std::uint32_t> usable;
     const auto add = [&](const envoy::config::endpoint::v3::LbEndpoint& endpoint) {
@@ -140,8 +140,8 @@
   std::map<StreamHub::StreamId, int> resources_received;
 };
 
-// Guards proxies against a control service that has just started: a list that is not known yet is no empty
-// list.
+// Guards against proxies dropping their endpoints when the control service restarts: before the first
+// membership update a pool's endpoints are unknown, not empty.
 TEST(XdsControlPlane, SendsNothingForAPoolBeforeItsFirstMembershipUpdate) {
   Simulation simulation;
   ASSERT_TRUE(simulation.hub.OpenStream(1, Session::Variant::kDelta, simulation.now));
@@ -172,19 +172,18 @@
   simulation.Deliver(simulation.control.UpdateMembership(
       "one", {0, false, {Node("a", 1, ServerState::kDraining)}}, simulation.now));
   EXPECT_EQ(simulation.Usable(1, "one").size(), 2u);
-  EXPECT_EQ(simulation.Usable(1, "two").size(), 2u);  // one node, whatever pool told
+  EXPECT_EQ(simulation.Usable(1, "two").size(), 2u);  // the drain applies to the node in all pools
   EXPECT_TRUE(simulation.control.HasNode("b"));
   EXPECT_FALSE(simulation.control.HasNode("nobody"));
   simulation.Deliver(simulation.control.Drain("b", simulation.now));
   EXPECT_EQ(simulation.Usable(1, "one"), (std::map<std::string, std::uint32_t>{{"10.0.0.3", 100}}));
   EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
-  // Membership that goes on listing it as up does not end an operator's drain; nor does a restart of the
-  // node.
+  // Neither a membership update that lists the node as up nor its restart ends an operator's drain.
   simulation.Deliver(simulation.control.UpdateMembership(
       "one", {0, true, {Node("b", 2, ServerState::kUp, 5), Node("c", 3)}}, simulation.now));
   EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
   simulation.Deliver(simulation.control.Undrain("b", simulation.now));
-  simulation.Run(300);  // nothing that is urgent
+  simulation.Run(300);  // an undrain is not urgent
   EXPECT_EQ(simulation.Usable(1, "one").size(), 2u);
 }
 
@@ -197,21 +196,21 @@
   simulation.Connect(2, {"mute", "", ""}, false);
   simulation.Connect(3, {"gone", "", ""});
   simulation.hub.OnStreamClosed(3, simulation.now);
-  EXPECT_TRUE(simulation.control.PendingProxies("a", simulation.now).empty());  // it does not drain
+  EXPECT_TRUE(simulation.control.PendingProxies("a", simulation.now).empty());  // not draining yet
   simulation.Deliver(simulation.control.Drain("a", simulation.now));
   std::map<std::string, Millis> pending;
   for (const auto& proxy : simulation.control.PendingProxies("a", simulation.now))
     pending[proxy.proxy] = proxy.lease_expiry;
   ASSERT_EQ(pending.size(), 2u);
-  // Of the strict pool a lease; of the other no end until they answer.
+  // The strict pool's leases expire; for the other pool, both proxies are pending until they answer.
   EXPECT_FALSE(std::isfinite(pending["mute"]));
   EXPECT_FALSE(std::isfinite(pending["gone"]));
-  simulation.Connect(4, {"gone", "", ""});  // it is back
+  simulation.Connect(4, {"gone", "", ""});  // reconnected
   pending.clear();
   for (const auto& proxy : simulation.control.PendingProxies("a", simulation.now))
     pending[proxy.proxy] = proxy.lease_expiry;
   EXPECT_EQ(pending.size(), 1u);
-  // A later change does not make proxies that know of the drain seem behind.
+  // A later change does not make proxies pending that have accepted the drain.
   simulation.Deliver(simulation.control.UpdateMembership("one", {0, false, {Node("c", 3)}}, simulation.now));
   simulation.is_unresponsive[1] = true;
   simulation.Run(300);
@@ -234,7 +233,7 @@
   simulation.Run(300);
   EXPECT_EQ(simulation.Usable(1, "one").count("10.0.0.1"), 1u);
   EXPECT_TRUE(simulation.control.PendingProxies("a", simulation.now).empty());
-  // The same id again is the drained one still.
+  // The drain still applies to the old id.
   simulation.Deliver(
       simulation.control.UpdateMembership("one", {0, true, {Node("a", 4), Node("b", 2)}}, simulation.now));
   simulation.Run(300);
@@ -252,7 +251,7 @@
   simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
   simulation.Run(1000);
   EXPECT_EQ(simulation.hub.statistics().pushes, before);
-  for (int i = 0; i < 15; ++i) {  // within one wait of 200 ms
+  for (int i = 0; i < 15; ++i) {  // within one coalescing delay of 200 ms
     hosts[static_cast<std::size_t>(i)].server.weight = 2;
     simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
     simulation.Run(10);
@@ -297,11 +296,11 @@
   hosts.erase(hosts.begin() + 10);
   simulation.Deliver(simulation.control.UpdateMembership("one", {0, true, hosts}, simulation.now));
   EXPECT_EQ(simulation.Usable(1, "one").size(), 198u);
-  EXPECT_EQ(simulation.resources_received[1], received + 1);  // a removal, no resource
+  EXPECT_EQ(simulation.resources_received[1], received + 1);  // a removal sends no resource
   simulation.is_unresponsive[1] = true;
   simulation.Deliver(simulation.control.Drain("h8", simulation.now));
   EXPECT_EQ(simulation.control.PendingProxies("h8", simulation.now).size(), 1u);
-  // Its lease on the list is not renewed while it has not answered.
+  // Its lease is not renewed while it has not acknowledged.
   simulation.Run(390);
   EXPECT_EQ(simulation.control.PendingProxies("h8", simulation.now).size(), 1u);
   simulation.Run(20);
@@ -317,12 +316,12 @@
   simulation.Deliver(simulation.control.Drain("a", simulation.now));
   const int received = simulation.resources_received[1];
   simulation.Deliver(simulation.control.Configure(File(""), simulation.now));
-  EXPECT_EQ(simulation.resources_received[1], received);  // all the same: nothing is told again
+  EXPECT_EQ(simulation.resources_received[1], received);  // nothing has changed, so nothing is sent
   EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
   simulation.Deliver(simulation.control.Configure(
       File("[control]\ngroup = [{ id = \"all\", pools = [\"two\"] }]\n"), simulation.now));
   EXPECT_FALSE(simulation.held[1][ResourceType::kCluster].contains(
-      "one"));  // another group, on the stream that it has
+      "one"));  // the proxy changes its group on the same stream
   EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
 }
 
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -1,5 +1,5 @@
-// The module's verdicts as weights for proxies, in a time of the test's own: what proxies report moves them,
-// and what a liar reports does not.
+// Tests of the pool decider in simulated time: load reports change weights and health, false reports of one
+// proxy do not.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -33,7 +33,7 @@
     host.address = {boost::asio::ip::make_address("10.0.0." + std::to_string(i + 1)), 80};
     return host;
   }
-  // `by` reports on each host for one second.
+  // One proxy reports served and failed requests of each host, for one second.
   void Report(const std::string& proxy, const std::map<int, std::pair<double, double>>& counts,
               Millis latency = 10) {
     xds::LoadReport report;
@@ -80,7 +80,7 @@
   EXPECT_NEAR(pool.EndpointOf(1).weight, 2.0 * pool.EndpointOf(0).weight, 2);
   EXPECT_NEAR(pool.EndpointOf(2).weight, 0.1 * pool.EndpointOf(0).weight, 2);
   std::uint32_t last_permille = 100;
-  for (int i = 0; i < 11; ++i) {  // the ramp is even, and ends
+  for (int i = 0; i < 11; ++i) {  // the weight grows evenly and reaches its full value
     pool.Run(1000);
     const auto permille =
         static_cast<std::uint32_t>(1000.0 * pool.EndpointOf(2).weight / pool.EndpointOf(0).weight);
@@ -111,8 +111,8 @@
   }
   EXPECT_EQ(pool.UsableCount() + (pool.EndpointOf(3).health == EndpointHealth::kHealthy ? 0 : 1), 4);
   EXPECT_LE(pool.EndpointOf(3).weight * 20,
-            pool.EndpointOf(0).weight);  // out, or on trial with next to nothing
-  // It is tried: reports on it come in again, first bad, then good.
+            pool.EndpointOf(0).weight);  // ejected, or probed with a small weight
+  // The host is probed: the reports on it are bad at first, then good.
   bool was_ejected = false, was_probed = false;
   for (int i = 0; i < 300; ++i) {
     pool.Run(100);
@@ -131,8 +131,8 @@
   EXPECT_GT(pool.EndpointOf(3).weight * 2, pool.EndpointOf(0).weight);
 }
 
-// One proxy's word must not empty a pool: beside two honest ones it changes nothing, and alone it
-// takes half of the hosts at the most.
+// Guards against a proxy that empties a pool by false reports: beside two correct proxies it changes nothing,
+// and alone it can eject at most half of the hosts.
 TEST(XdsPoolDecider, FalseReportsOfOneProxyDoNotEmptyThePool) {
   DecidedPool pool(6);
   std::map<int, std::pair<double, double>> good, bad;
@@ -164,11 +164,11 @@
     pool.Run(1000);
   }
   EXPECT_LT(pool.EndpointOf(2).weight, 10u);
-  // Another node at the same address, under a new id.
+  // A new node with another id at the same address.
   pool.list.hosts[2].server.id = "new";
   pool.list.hosts[2].server.started_at = pool.now;
   pool.decider.UpdateMembership(pool.list, pool.now);
-  pool.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {0, 100}}});  // of the second before it came
+  pool.Report("p", {{0, {100, 0}}, {1, {100, 0}}, {2, {0, 100}}});  // covers the second before the new node
   pool.Run(500);
   for (const EndpointAssignment& endpoint : pool.decider.Endpoints()) {
     EXPECT_EQ(endpoint.health, EndpointHealth::kHealthy) << endpoint.id;
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -1,5 +1,5 @@
-// A proxy that we did not write: gRPC C++'s own xDS client (xds:///) finds stand-in servers through what the
-// control service tells, follows their weights, and leaves one that drains.
+// Test with an independent xDS client: gRPC C++'s own (xds:///) finds stand-in servers through the control
+// service, follows their weights and stops using one that drains.
 #include <grpcpp/generic/async_generic_service.h>
 #include <grpcpp/generic/generic_stub.h>
 #include <grpcpp/grpcpp.h>
@@ -52,7 +52,7 @@
   std::unique_ptr<grpc::Server> server_;
 };
 
-// Who answers one call; empty if it failed.
+// Returns the name of the server that answers one call; empty if the call fails.
 std::string Call(const std::shared_ptr<grpc::Channel>& channel) {
   grpc::GenericStub stub(channel);
   grpc::ClientContext context;
@@ -114,11 +114,11 @@
     from_b += server == "b";
   }
   EXPECT_EQ(from_a + from_b, 400);
-  // Three to one; a ring of hashes and 400 draws leave some play.
+  // Weights are three to one; the hash ring and 400 random picks deviate from that somewhat.
   EXPECT_GT(from_a, 220);
   EXPECT_GT(from_b, 40);
   publish(EndpointHealth::kDraining);
-  // Told is not yet followed; that shows by itself soon, and then for good.
+  // The client applies the drain with some delay, and then permanently.
   int consecutive_from_b = 0;
   for (int i = 0; i < 20000 && consecutive_from_b < 60; ++i)
     consecutive_from_b = Call(channel) == "b" ? consecutive_from_b + 1 : 0;
--- a/tests/xds_hub_test.cpp
+++ b/tests/xds_hub_test.cpp
@@ -1,5 +1,5 @@
-// All proxies of one control service, in a time of the test's own: drains reach them, or their leases run
-// out, whatever happens to their streams.
+// Tests of the stream hub in simulated time: drains reach all proxies, or the proxies' leases expire,
+// whatever happens to their streams.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,7 +36,7 @@
   return request;
 }
 
-// Whom a drain that is in this list waits for.
+// Returns the proxies that a drain contained in `drained` waits for.
 std::vector<StreamHub::PendingProxy> PendingProxies(const StreamHub& hub,
                                                     const std::shared_ptr<const Snapshot>& drained,
                                                     Millis now) {
@@ -44,9 +44,10 @@
   return hub.PendingProxies("p", {{"", ResourceType::kEndpoint, "p", list->serial}}, now);
 }
 
-// A proxy: it takes messages as they arrive, and goes by a list only while its lease runs.
+// A simulated proxy: it processes messages as they arrive and uses its endpoints only while their lease is
+// valid.
 struct Proxy {
-  std::string version;  // of the list that it goes by
+  std::string version;  // of the endpoints that it uses
   Millis lease_expiry = 0;
   StreamHub::StreamId stream = 0;
   bool is_connected = false, reads = true, answers = true;
@@ -54,7 +55,7 @@
     Millis at;
     StreamHub::OutgoingMessage out;
   };
-  std::deque<Message> inbox;  // on the way, in order
+  std::deque<Message> inbox;  // messages in transit, in order
 
   bool UsesVersion(const std::string& expected, Millis now) const {
     return version == expected && now < lease_expiry;
@@ -82,7 +83,7 @@
     }
     Deliver(hub.HandleRequest(proxy.stream, {"proxy-" + std::to_string(i), "", ""}, request, now));
   }
-  // Ends the stream: what is on its way arrives up to `keep` messages, the rest never.
+  // Closes the stream: at most `keep` of the messages in transit still arrive.
   void Disconnect(std::size_t i, std::size_t keep) {
     Proxy& proxy = proxies[i];
     if (!proxy.is_connected) return;
@@ -141,8 +142,9 @@
   }
 }
 
-// The heart of it: drains at any moment, while streams break at every message boundary, proxies miss the
-// drain, read nothing, answer nothing, or come back. No proxy goes by the old list for 500 ms.
+// Guards against proxies that keep sending to a drained node: drains at any time, while streams break at
+// every message boundary and proxies miss the drain, read nothing, acknowledge nothing or reconnect. No proxy
+// may use the old endpoints for 500 ms.
 TEST(XdsStreamHub, NoProxyUsesOutdatedEndpointsFor500MsAfterADrain) {
   double longest_use = 0;
   for (unsigned seed = 0; seed < 400; ++seed) {
@@ -165,7 +167,7 @@
       if (simulation.random() % 4 == 0)
         simulation.Disconnect(i, simulation.random() % 2);  // in the middle of the update
     }
-    // Weights go on changing, which must not keep an old list alive.
+    // Weights keep changing, which must not renew the lease of old endpoints.
     for (int i = 0; i < 700; ++i) {
       simulation.Step();
       if (i % 50 == 10) {
@@ -180,7 +182,8 @@
     }
   }
   EXPECT_LT(longest_use, 500);
-  EXPECT_GT(longest_use, 100);  // some were lost, and went on for as long as their lease ran
+  // Some proxies were disconnected and used the endpoints until their lease expired.
+  EXPECT_GT(longest_use, 100);
 }
 
 TEST(XdsStreamHub, PendingProxiesNamesThoseThatMayUseOutdatedEndpoints) {
@@ -212,7 +215,7 @@
   const auto drained = EndpointSnapshot({{"p", "2"}});
   hub.Publish("", drained, true, 100);
   EXPECT_EQ(PendingProxies(hub, drained, 100000).size(), 1u);
-  hub.OnStreamClosed(1, 100001);  // a proxy that is lost with it may go on for ever
+  hub.OnStreamClosed(1, 100001);  // a disconnected proxy may use the endpoints forever
   EXPECT_EQ(PendingProxies(hub, drained, 1e12).size(), 1u);
   ASSERT_TRUE(hub.OpenStream(2, Session::Variant::kDelta, 2e12));
   const auto messages = hub.HandleRequest(2, {"a", "", ""}, Subscribe("p"), 2e12);
@@ -222,10 +225,12 @@
   ack.type = ResourceType::kEndpoint;
   ack.nonce = messages[0].response.nonce;
   hub.HandleRequest(2, {"a", "", ""}, ack, 2e12);
-  EXPECT_TRUE(PendingProxies(hub, drained, 2e12).empty());  // it is back, and has taken the drain in
+  // The proxy has reconnected and accepted the drain.
+  EXPECT_TRUE(PendingProxies(hub, drained, 2e12).empty());
 }
 
-// Guards a strict pool's proxies against an outage that outlasts their lease: they have let go of the list.
+// Guards against a proxy without endpoints: it drops a strict pool's endpoints when an outage outlasts their
+// lease.
 TEST(XdsStreamHub, ProxyWithAnExpiredLeaseIsSentTheEndpointsAgainOnceItAnswers) {
   Simulation simulation(9, 1);
   for (int i = 0; i < 200; ++i) simulation.Step();
@@ -250,7 +255,7 @@
   ASSERT_EQ(messages.size(), 1u);
   ASSERT_EQ(messages[0].response.resources.size(), 1u);
   EXPECT_EQ(messages[0].leased_names, std::vector<std::string>{"p"});
-  // A pool that is no longer strict, and one that is now.
+  // One pool ceases to be strict, another one becomes strict.
   hub.SetStrictPools({"q"});
   const auto again = hub.Publish("", EndpointSnapshot({{"p", "1"}, {"q", "1"}}), true, 1);
   ASSERT_EQ(again.size(), 1u);
@@ -284,7 +289,7 @@
         longest_use = std::max(longest_use, simulation.now - drained_at);
     }
   }
-  EXPECT_LT(longest_use, 100);  // all were told
+  EXPECT_LT(longest_use, 100);  // the drain reached all proxies
   EXPECT_TRUE(PendingProxies(simulation.hub, list, simulation.now).empty());
 }
 
@@ -334,7 +339,7 @@
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_TRUE(ended[0].close_reason);
   EXPECT_TRUE(hub.OpenStream(3, Session::Variant::kDelta, 0));
-  EXPECT_EQ(hub.HandleRequest(2, {"b", "", ""}, Subscribe("p"), 0).size(), 1u);  // and never acknowledged
+  EXPECT_EQ(hub.HandleRequest(2, {"b", "", ""}, Subscribe("p"), 0).size(), 1u);  // never acknowledged
   std::vector<StreamHub::OutgoingMessage> out;
   for (Millis now = 1; now <= 1000 && out.empty(); now += 1) {
     for (StreamHub::OutgoingMessage& item : hub.Tick(now)) {
--- a/tests/xds_load_report_test.cpp
+++ b/tests/xds_load_report_test.cpp
@@ -1,4 +1,4 @@
-// What proxies report: read from their messages, and brought to one estimate a host that no liar makes up.
+// Tests of load report parsing, and of the aggregation that false reports of a minority must not distort.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -108,7 +108,7 @@
       const auto estimate = aggregator.Estimate("a", 0, 0);
       ASSERT_TRUE(estimate);
       EXPECT_EQ(estimate->reporter_count, static_cast<std::size_t>(proxies));
-      // Of an even number half are not enough to be believed.
+      // Half of an even number of proxies is not a majority.
       EXPECT_EQ(estimate->failure_fraction, 2 * liars > proxies ? 1.0 : 1.0 / 101)
           << liars << " of " << proxies;
     }
@@ -117,7 +117,7 @@
 
 TEST(XdsLoadAggregator, UsesLittlesLawWhereNoLatencyIsReported) {
   LoadAggregator aggregator;
-  aggregator.AddReport("a", "p", Load(1000, 0, 20), 1000, 0);  // 20 out at 1 a ms
+  aggregator.AddReport("a", "p", Load(1000, 0, 20), 1000, 0);  // 20 in flight at 1 per ms
   EXPECT_NEAR(aggregator.Estimate("a", 0, 0)->latency, 20, 1e-9);
   aggregator.AddReport("a", "p", Load(1000, 0, 0, 7), 1000, 0);
   EXPECT_EQ(aggregator.Estimate("a", 0, 0)->latency, 7);
@@ -128,10 +128,10 @@
   aggregator.AddReport("a", "old", Load(0, 10), 1000, 0);
   EXPECT_TRUE(aggregator.Estimate("a", 0, 9000));
   EXPECT_FALSE(aggregator.Estimate("a", 0, 11000));
-  EXPECT_FALSE(aggregator.Estimate("a", 1, 1));  // from before
+  EXPECT_FALSE(aggregator.Estimate("a", 1, 1));  // received before `since`
   for (int i = 0; i < 1000; ++i) aggregator.AddReport("a", "p" + std::to_string(i), Load(10, 0), 1000, 1 + i);
   EXPECT_EQ(aggregator.Estimate("a", 0, 1000)->reporter_count, 32u);
-  aggregator.AddReport("b", "p", Load(0, 0, 5), 1000, 0);  // nothing was seen
+  aggregator.AddReport("b", "p", Load(0, 0, 5), 1000, 0);  // no completed requests
   EXPECT_FALSE(aggregator.Estimate("b", 0, 0));
 }
 
--- a/tests/xds_resources_test.cpp
+++ b/tests/xds_resources_test.cpp
@@ -1,5 +1,5 @@
-// The operators' file as xDS resources: what a proxy routes by must send each request where the gateway's own
-// table would.
+// Tests of the xDS resources built from the operators' file: a proxy must route each request like the
+// gateway's own route table.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -44,7 +44,8 @@
   return message;
 }
 
-// Where a proxy sends a request by the published rules: the most special domain, then the first route.
+// Returns the id of the route that a proxy selects by the published rules: the most specific domain, then the
+// first matching route; "none" without a match.
 std::string ProxyRoute(const route::RouteConfiguration& routes, const routing::Request& request) {
   const route::VirtualHost* best = nullptr;
   std::size_t rank = 0;
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -1,4 +1,4 @@
-// The control service over loopback sockets, with stand-in proxies of both forms.
+// Tests of the control server over loopback sockets, with stand-in proxies of both protocol variants.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,7 +36,7 @@
 
 struct Service {
   explicit Service(xds::ControlServerOptions options = {}) {
-    options.hub.lease_duration = 20000;  // of no matter here but where a test says so: busy machines are slow
+    options.hub.lease_duration = 20000;  // long, so that leases don't expire on a busy machine
     options.hub.heartbeat_interval = 50;
     server.emplace(std::move(options));
     server->RunOnDecisionThread([](StreamHub& hub, Millis) {
@@ -58,7 +58,7 @@
     });
     return statistics;
   }
-  // Waits for what the server comes to know.
+  // Waits up to 30 s until the condition holds for the server's statistics.
   bool Await(const std::function<bool(const StreamHub::Statistics&)>& condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
@@ -90,8 +90,8 @@
   EXPECT_TRUE(client.Routes("one", "10.0.0.2"));
 }
 
-// At every message boundary of the first update, and inside it: the stream breaks, and the next one makes up
-// for it.
+// Guards against lost updates: the stream breaks at each message boundary of the first update, and the next
+// stream must deliver what is missing.
 TEST_P(XdsServer, ProxyThatDisconnectsBetweenMessagesGetsAllAfterReconnecting) {
   Service service;
   for (int boundary = 0; boundary < 6; ++boundary) {
@@ -112,8 +112,8 @@
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
-// The connection breaks inside a message, wherever: half of it is nothing, and the next stream makes up for
-// it.
+// Guards against lost updates: the connection breaks inside a message, and the next stream must deliver
+// everything.
 TEST_P(XdsServer, ProxyThatDisconnectsInsideAMessageGetsAllAfterReconnecting) {
   Service service;
   for (const std::size_t cut : {100, 300, 500, 700, 900, 1100, 1300, 1500}) {
@@ -122,7 +122,7 @@
       CuttingRelay relay(service.server->port(), cut);
       XdsClient cut_off(relay.port(), GetParam(), "proxy-" + std::to_string(cut));
       SubscribeToAll(cut_off);
-      // It is cut off, or has got all within so few bytes.
+      // Either the connection was cut, or everything arrived before the cut.
       ASSERT_TRUE(cut_off.Await([&] { return cut_off.ended() || IsWhole(cut_off); })) << cut;
     }
     SubscribeToAll(client);
@@ -198,7 +198,8 @@
   EXPECT_EQ(second.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
-// A proxy that reads nothing is dropped, not buffered, and the others are told as ever.
+// Guards against unbounded buffering: a proxy that never reads is disconnected, and the others are served as
+// before.
 TEST(XdsServerLimits, DisconnectsAProxyThatNeverReads) {
   xds::ControlServerOptions options;
   options.max_queued_bytes = 256 * 1024;
@@ -232,7 +233,7 @@
 TEST(XdsServerLimits, DrainReachesTwoHundredProxiesThatReconnectAtOnce) {
   Service service;
   std::vector<std::unique_ptr<XdsClient>> proxies;
-  const auto each = [&](auto work) {  // of the proxies, by eight threads
+  const auto each = [&](auto work) {  // runs `work` on all proxies in eight threads
     std::vector<std::thread> threads;
     for (std::size_t t = 0; t < 8; ++t) {
       threads.emplace_back([&, t] {
@@ -254,7 +255,7 @@
         << proxy->answers(ResourceType::kEndpoint);
   for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
   std::thread drain(
-      [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // in the middle of it
+      [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // while they reconnect
   each([&](XdsClient& proxy) {
     proxy.Drop();
     connect(proxy);
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -1,5 +1,5 @@
-// One proxy's stream: versions, nonces, ACK and NACK by the published rules, and what must never be told in
-// which order.
+// Tests of one proxy's stream: versions, nonces, ACK and NACK by the published protocol, and the order of
+// resource types.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
 
 std::string VersionOf(const xds::ResourcePtr& resource) { return resource ? resource->version : ""; }
 
-// Versions by name, of each type.
+// Versions by resource name.
 using Versions = std::map<std::string, std::string>;
 Snapshot MakeSnapshot(
     const Versions& clusters, const Versions& endpoints, const Versions& listeners = {},
@@ -53,7 +53,7 @@
   return request;
 }
 
-// The proxy's ACK of an answer, with the names that it goes on wanting (state of the world).
+// The proxy's ACK of a response; in the state-of-the-world variant with the names that it subscribes to.
 XdsRequest Ack(const XdsResponse& response, std::vector<std::string> names = {}) {
   XdsRequest request;
   request.type = response.type;
@@ -79,7 +79,7 @@
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
     const Snapshot one = MakeSnapshot({{"a", "1"}, {"b", "1"}}, {});
-    EXPECT_FALSE(session.NextResponse(one));  // nothing was asked for
+    EXPECT_FALSE(session.NextResponse(one));  // nothing is subscribed
     EXPECT_FALSE(session.HandleRequest(Subscribe(ResourceType::kCluster), one));
     const auto first = session.NextResponse(one);
     ASSERT_TRUE(first);
@@ -91,8 +91,9 @@
     const auto second = session.NextResponse(two);
     ASSERT_TRUE(second);
     EXPECT_EQ(Names(*second), (Strings{"b@2", "c@1"}));
-    EXPECT_EQ(second->removed,
-              variant == Variant::kDelta ? Strings{"a"} : Strings{});  // else by not being listed
+    EXPECT_EQ(second->removed, variant == Variant::kDelta
+                                   ? Strings{"a"}
+                                   : Strings{});  // state of the world: removed by not being listed
     session.HandleRequest(Ack(*second), two);
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "b")), "2");
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "a")), "");
@@ -117,7 +118,7 @@
   const Snapshot two = MakeSnapshot({}, {{"a", "2"}, {"b", "1"}});
   const auto second = session.NextResponse(two);
   ASSERT_TRUE(second);
-  // It speaks of the first answer still: what it wants by then is not what it wants.
+  // The request answers the first response: its subscriptions are outdated.
   session.HandleRequest(Ack(*first, {"a", "b"}), two);
   EXPECT_EQ(session.stale_nonces(), 1u);
   EXPECT_FALSE(session.IsSubscribed(ResourceType::kEndpoint, "b"));
@@ -130,7 +131,7 @@
   EXPECT_EQ(Names(*session.NextResponse(two)), Strings{"b@1"});
 }
 
-// An update must not wait for the acknowledgement of the one before: it may be a drain.
+// Guards against delayed drains: an update must not wait for the acknowledgement of the previous one.
 TEST(XdsSession, SendsAnUpdateWhileThePreviousIsUnacknowledged) {
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
@@ -149,7 +150,8 @@
   }
 }
 
-// One bad resource of two that changed: the good one arrives, the last accepted version of the bad one stays.
+// Guards against one bad resource that blocks others: the good one arrives, and the proxy keeps the last
+// accepted version of the bad one.
 TEST(XdsSession, NackOfOneOfTwoChangedResourcesDoesNotHoldBackTheOther) {
   for (const Variant variant : {Variant::kStateOfTheWorld, Variant::kDelta}) {
     Session session(variant);
@@ -174,7 +176,7 @@
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "good")), "2");
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "bad")), "1");
     EXPECT_EQ(session.nacks(), 2u);
-    // A mended version is tried.
+    // A corrected version is sent.
     const Snapshot three = MakeSnapshot({{"bad", "3"}, {"good", "2"}}, {});
     const auto mended = session.NextResponse(three);
     ASSERT_TRUE(mended);
@@ -210,7 +212,7 @@
     }
     EXPECT_EQ(order, (std::vector<ResourceType>{ResourceType::kCluster, ResourceType::kEndpoint,
                                                 ResourceType::kListener, ResourceType::kRoute}));
-    // A route moves to another cluster: the new one first, the old one gone last.
+    // A route moves to another cluster: the new cluster is sent first, the old one is removed last.
     const Snapshot two = MakeSnapshot({{"new", "1"}}, {{"new", "1"}}, {{"l", "1"}}, routes("2", "new"));
     const auto made = session.NextResponse(two);
     ASSERT_TRUE(made);
@@ -221,7 +223,7 @@
     endpoints = {"new"};
     if (variant == Variant::kDelta) session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"new"}), two);
     for (auto next = session.NextResponse(two); next; next = session.NextResponse(two)) {
-      EXPECT_NE(next->type, ResourceType::kRoute);  // not before the cluster is taken in
+      EXPECT_NE(next->type, ResourceType::kRoute);  // not before the cluster is acknowledged
       session.HandleRequest(Ack(*next, names_of(next->type)), two);
     }
     session.HandleRequest(Ack(*made), two);
@@ -238,7 +240,8 @@
   }
 }
 
-// A restart of the control service, or a proxy that comes over from another instance: nothing is told again.
+// After a restart of the control service, or when a proxy switches from another instance, nothing is sent
+// again.
 TEST(XdsSession, ReconnectedProxyIsNotSentWhatItAlreadyHas) {
   const Snapshot now = MakeSnapshot({{"a", "1"}, {"b", "2"}}, {{"a", "5"}});
   Session delta(Variant::kDelta);
@@ -260,7 +263,6 @@
   EXPECT_EQ(Names(*state_of_the_world.NextResponse(later)), (Strings{"a@1", "b@3"}));
 }
 
-// A resource that was gone while the proxy was away is taken from it.
 TEST(XdsSession, ResourceRemovedWhileAProxyWasDisconnectedIsRemovedFromIt) {
   const Snapshot now = MakeSnapshot({{"a", "1"}}, {});
   Session session(Variant::kDelta);
@@ -280,10 +282,10 @@
   const auto first = session.NextResponse(now);
   ASSERT_TRUE(first);
   EXPECT_EQ(Names(*first), Strings{"a@1"});
-  EXPECT_EQ(first->removed, Strings{"nowhere"});  // said once that it is not there
+  EXPECT_EQ(first->removed, Strings{"nowhere"});  // reported once as not existing
   session.HandleRequest(Ack(*first), now);
   EXPECT_FALSE(session.NextResponse(now));
-  session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"b", "a"}), now);  // a again: it is sent again
+  session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"b", "a"}), now);  // "a" is requested again
   EXPECT_EQ(Names(*session.NextResponse(now)), (Strings{"a@1", "b@1"}));
   XdsRequest leave;
   leave.type = ResourceType::kEndpoint;
@@ -306,7 +308,7 @@
   Session session(Variant::kDelta, limits);
   EXPECT_FALSE(session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a", "b"}), none));
   EXPECT_TRUE(session.HandleRequest(Subscribe(ResourceType::kEndpoint, {"c", "d"}), none));
-  Session unresponsive(Variant::kDelta, limits);  // acknowledges nothing
+  Session unresponsive(Variant::kDelta, limits);  // sends no ACK
   unresponsive.HandleRequest(Subscribe(ResourceType::kEndpoint, {"a"}), none);
   for (int i = 0; i < 2; ++i)
     EXPECT_TRUE(unresponsive.NextResponse(MakeSnapshot({}, {{"a", std::to_string(i)}})));
@@ -314,8 +316,8 @@
   EXPECT_TRUE(unresponsive.is_blocked());
 }
 
-// A proxy of the test's own that takes answers late, loses patience, rejects some versions and asks for other
-// names, all by chance: in the end it holds what it should, and was never told of a route before its cluster.
+// A simulated proxy processes responses late, rejects some versions and changes its subscriptions at random.
+// In the end it must hold the right versions.
 TEST(XdsSession, ConvergesWithARandomlyBehavingProxy) {
   for (unsigned seed = 0; seed < 300; ++seed) {
     std::mt19937 random(seed);
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -1,4 +1,4 @@
-// TLS of the control service: who may connect, and certificates that change while it runs.
+// Tests of the control service's TLS: which proxies may connect, and certificates that change while it runs.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -44,7 +44,7 @@
           now);
     });
   }
-  // How a proxy's stream fares that trusts `trusted`: OK if it is answered.
+  // Opens a stream as a proxy that trusts `trusted` and returns its status: OK if it gets a response.
   grpc::StatusCode RequestStatus(const Certificate& trusted, const Certificate* own) {
     grpc::SslCredentialsOptions ssl;
     ssl.pem_root_certs = trusted.Pem();
