--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -85,12 +85,12 @@
       ++faults;
       const auto kind = random() % 3;
       if (kind == 2 || all) {
-        proxies[i]->Drop();
+        proxies[i]->Disconnect();
         connect(*proxies[i]);  // at once
         continue;
       }
       away[i] = Clock::now() + milliseconds(50 + random() % 700);
-      kind == 0 ? proxies[i]->Drop() : proxies[i]->Ignore();
+      kind == 0 ? proxies[i]->Disconnect() : proxies[i]->IgnoreResponses();
     }
     if (done < drains) {
       const int node = next++ % kNodes;
@@ -109,7 +109,7 @@
         ++at;
         continue;
       }
-      proxies[at->first]->Drop();
+      proxies[at->first]->Disconnect();
       connect(*proxies[at->first]);
       at = away.erase(at);
     }
@@ -145,7 +145,7 @@
       count, drains, faults, part(0.5), part(0.9), part(0.99), part(0.999), worst, late,
       Ms(Clock::now() - begun) / 1000);
   std::fflush(stdout);
-  for (const auto& proxy : proxies) proxy->Drop();
+  for (const auto& proxy : proxies) proxy->Disconnect();
   server.RunOnDecisionThread([&](xds::StreamHub&, Millis) { return ControlPlane::OutgoingMessages(); });
   return late == 0 ? 0 : 1;
 }
--- a/tests/standins/xds_client.hpp
+++ b/tests/standins/xds_client.hpp
@@ -38,18 +38,18 @@
     std::optional<Clock::time_point> until;  // expiry of its lease, if it has one
   };
   // How it reacts to a response.
-  enum class Reply { kAck, kNack, kNothing, kStale };
+  enum class Reaction { kAck, kNack, kNoAnswer, kStaleNonce };
 
   XdsClient(int port, bool delta, std::string id = "proxy", std::string cluster = "edge")
       : delta_(delta), id_(std::move(id)), cluster_(std::move(cluster)), port_(port) {}
-  ~XdsClient() { Drop(); }
+  ~XdsClient() { Disconnect(); }
   XdsClient(const XdsClient&) = delete;
   XdsClient& operator=(const XdsClient&) = delete;
 
   // Opens a stream on a connection of its own. In the delta variant, Subscribe then reports the resources
   // already held.
   void Connect() {
-    ignores_ = false;
+    ignores_responses_ = false;
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     channel_ = grpc::CreateCustomChannel("127.0.0.1:" + std::to_string(port_),
@@ -57,30 +57,30 @@
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel_);
     context_ = std::make_unique<grpc::ClientContext>();
     context_->set_wait_for_ready(true);  // retries failed connections, as proxies do
-    ended_ = false;
+    has_ended_ = false;
     if (delta_) {
-      changes_ = stub->DeltaAggregatedResources(context_.get());
+      delta_stream_ = stub->DeltaAggregatedResources(context_.get());
     } else {
-      whole_ = stub->StreamAggregatedResources(context_.get());
+      sotw_stream_ = stub->StreamAggregatedResources(context_.get());
     }
-    first_ = true;
+    is_first_request_ = true;
     reader_ = std::thread([this] { Read(); });
   }
   // Cancels the stream.
-  void Drop() {
+  void Disconnect() {
     if (context_) context_->TryCancel();
     if (reader_.joinable()) reader_.join();
-    whole_.reset();
-    changes_.reset();
+    sotw_stream_.reset();
+    delta_stream_.reset();
     context_.reset();
   }
 
   void Subscribe(xds::ResourceType type, std::vector<std::string> names = {}) {
     const std::lock_guard lock(mutex_);
     names_[type] = names;
-    if (!delta_) return SendWhole(type, "", nonces_[type], false);
+    if (!delta_) return SendStateOfTheWorld(type, "", nonces_[type], false);
     discovery::DeltaDiscoveryRequest request;
-    Introduce(request);
+    AddNode(request);
     request.set_type_url(std::string(xds::TypeUrl(type)));
     for (const std::string& name : names) request.add_resource_names_subscribe(name);
     std::erase_if(held_[type], [](const auto& entry) {
@@ -88,13 +88,13 @@
     });
     for (const auto& [name, held] : held_[type])
       (*request.mutable_initial_resource_versions())[name] = held.version;
-    changes_->Write(request);
+    delta_stream_->Write(request);
   }
 
   // Waits until the condition holds for what it has received; returns false after 30 s.
-  bool Await(const std::function<bool()>& holds) {
+  bool Await(const std::function<bool()>& condition) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, std::chrono::seconds(30), holds);
+    return changed_.wait_for(lock, std::chrono::seconds(30), condition);
   }
   // The following are for use in conditions of Await, and after Await.
   const std::map<std::string, Held>& held(xds::ResourceType type) { return held_[type]; }
@@ -102,19 +102,19 @@
     const auto found = held_[type].find(name);
     return found == held_[type].end() ? "" : found->second.version;
   }
-  bool ended() const { return ended_; }
+  bool has_ended() const { return has_ended_; }
   grpc::Status status() const { return status_; }
-  int answers(xds::ResourceType type) { return answers_[type]; }
-  int heartbeats() const { return heartbeats_; }
+  int response_count(xds::ResourceType type) { return response_counts_[type]; }
+  int heartbeat_count() const { return heartbeat_count_; }
   std::vector<xds::ResourceType> order() const { return order_; }
   // From now on, ignores all responses. It uses what it holds until the lease expires.
-  void Ignore() { ignores_ = true; }
+  void IgnoreResponses() { ignores_responses_ = true; }
 
   // Records from now on when it may have routed to which of the pool's endpoints whose addresses start with
-  // `begin`. To be called before Connect.
-  void RecordUse(std::string pool, std::string begin) {
+  // `address_prefix`. To be called before Connect.
+  void RecordUse(std::string pool, std::string address_prefix) {
     recorded_pool_ = std::move(pool);
-    recorded_begin_ = std::move(begin);
+    recorded_address_prefix_ = std::move(address_prefix);
   }
   // Returns the last time between `from` and `to` at which it may have routed to the endpoint; nullopt if at
   // none.
@@ -122,46 +122,46 @@
                                            Clock::time_point to) {
     const std::lock_guard lock(mutex_);
     std::optional<Clock::time_point> last;
-    for (auto at = uses_.begin(); at != uses_.end(); ++at) {
+    for (auto at = use_periods_.begin(); at != use_periods_.end(); ++at) {
       if (!at->addresses.contains(address)) continue;
       const auto next = std::next(at);
       auto end = std::min(at->until, to);
-      if (next != uses_.end()) end = std::min(end, next->since);
+      if (next != use_periods_.end()) end = std::min(end, next->since);
       if (end > from && at->since < to) last = end;
     }
     // Older entries are not queried any more.
-    while (uses_.size() > 1 && std::next(uses_.begin())->since < from - std::chrono::seconds(5))
-      uses_.pop_front();
+    while (use_periods_.size() > 1 && std::next(use_periods_.begin())->since < from - std::chrono::seconds(5))
+      use_periods_.pop_front();
     return last;
   }
 
-  // Whether it may route to the endpoint now. `locked`: set when called from a condition of Await.
-  bool Routes(const std::string& pool, const std::string& address, bool locked = false) {
+  // Whether it may route to the endpoint now. `is_locked`: set when called from a condition of Await.
+  bool MayRouteTo(const std::string& pool, const std::string& address, bool is_locked = false) {
     std::unique_lock lock(mutex_, std::defer_lock);
-    if (!locked) lock.lock();
+    if (!is_locked) lock.lock();
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
     if (found == held_[xds::ResourceType::kEndpoint].end()) return false;
     if (found->second.until && Clock::now() >= *found->second.until) return false;
-    return WeightIn(found->second, address) > 0;
+    return WeightOf(found->second, address) > 0;
   }
   // The same regardless of the lease. For conditions of Await, and after Await.
-  bool RoutesAsHeld(const std::string& pool, const std::string& address) {
+  bool HoldsHealthyEndpoint(const std::string& pool, const std::string& address) {
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
-    return found != held_[xds::ResourceType::kEndpoint].end() && WeightIn(found->second, address) > 0;
+    return found != held_[xds::ResourceType::kEndpoint].end() && WeightOf(found->second, address) > 0;
   }
   // Returns the weight of an endpoint that it may route to; 0 for others.
   std::uint32_t Weight(const std::string& pool, const std::string& address) {
     const std::lock_guard lock(mutex_);
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
-    return found == held_[xds::ResourceType::kEndpoint].end() ? 0 : WeightIn(found->second, address);
+    return found == held_[xds::ResourceType::kEndpoint].end() ? 0 : WeightOf(found->second, address);
   }
 
-  std::function<Reply(xds::ResourceType, const std::vector<std::string>& names)> reply = [](auto, auto&) {
-    return Reply::kAck;
+  std::function<Reaction(xds::ResourceType, const std::vector<std::string>& names)> react = [](auto, auto&) {
+    return Reaction::kAck;
   };
 
  private:
-  static std::uint32_t WeightIn(const Held& held, const std::string& address) {
+  static std::uint32_t WeightOf(const Held& held, const std::string& address) {
     envoy::config::endpoint::v3::ClusterLoadAssignment list;
     if (!list.ParseFromString(held.bytes)) return 0;
     for (const auto& locality : list.endpoints()) {
@@ -175,14 +175,14 @@
   }
 
   // Records the endpoints that it uses from now on.
-  void Record() {
-    Use use;
-    use.since = Clock::now();
+  void RecordUsedEndpoints() {
+    UsePeriod period;
+    period.since = Clock::now();
     const auto found = held_[xds::ResourceType::kEndpoint].find(recorded_pool_);
     if (found != held_[xds::ResourceType::kEndpoint].end()) {
-      use.until = found->second.until.value_or(Clock::time_point::max());
-      if (!uses_.empty() && uses_.back().version == found->second.version) {
-        use.addresses = uses_.back().addresses;
+      period.until = found->second.until.value_or(Clock::time_point::max());
+      if (!use_periods_.empty() && use_periods_.back().version == found->second.version) {
+        period.addresses = use_periods_.back().addresses;
       } else {
         envoy::config::endpoint::v3::ClusterLoadAssignment list;
         list.ParseFromString(found->second.bytes);
@@ -190,45 +190,46 @@
           for (const auto& endpoint : locality.lb_endpoints()) {
             const std::string& address = endpoint.endpoint().address().socket_address().address();
             if (endpoint.health_status() == envoy::config::core::v3::HEALTHY &&
-                address.starts_with(recorded_begin_))
-              use.addresses.insert(address);
+                address.starts_with(recorded_address_prefix_))
+              period.addresses.insert(address);
           }
         }
       }
-      use.version = found->second.version;
+      period.version = found->second.version;
     }
-    uses_.push_back(std::move(use));
+    use_periods_.push_back(std::move(period));
   }
 
   template <typename Message>
-  void Introduce(Message& request) {
-    if (!std::exchange(first_, false)) return;
+  void AddNode(Message& request) {
+    if (!std::exchange(is_first_request_, false)) return;
     request.mutable_node()->set_id(id_);
     request.mutable_node()->set_cluster(cluster_);
   }
-  void SendWhole(xds::ResourceType type, const std::string& version, const std::string& nonce, bool bad) {
+  void SendStateOfTheWorld(xds::ResourceType type, const std::string& version, const std::string& nonce,
+                           bool is_nack) {
     discovery::DiscoveryRequest request;
-    Introduce(request);
+    AddNode(request);
     request.set_type_url(std::string(xds::TypeUrl(type)));
     request.set_version_info(version);
     request.set_response_nonce(nonce);
     for (const std::string& name : names_[type]) request.add_resource_names(name);
-    if (bad) request.mutable_error_detail()->set_message("the stand-in does not like it");
-    whole_->Write(request);
+    if (is_nack) request.mutable_error_detail()->set_message("the stand-in does not like it");
+    sotw_stream_->Write(request);
   }
 
   void Read() {
     if (delta_) {
       discovery::DeltaDiscoveryResponse response;
-      while (changes_->Read(&response)) {
+      while (delta_stream_->Read(&response)) {
         std::vector<discovery::Resource> resources(response.resources().begin(), response.resources().end());
-        Take(response.type_url(), response.nonce(), response.system_version_info(), resources,
-             {response.removed_resources().begin(), response.removed_resources().end()});
+        HandleResponse(response.type_url(), response.nonce(), response.system_version_info(), resources,
+                       {response.removed_resources().begin(), response.removed_resources().end()});
       }
-      Ended(changes_->Finish());
+      OnStreamEnded(delta_stream_->Finish());
     } else {
       discovery::DiscoveryResponse response;
-      while (whole_->Read(&response)) {
+      while (sotw_stream_->Read(&response)) {
         std::vector<discovery::Resource> resources;
         for (const auto& any : response.resources()) {
           discovery::Resource resource;
@@ -238,19 +239,19 @@
           }
           resources.push_back(resource);
         }
-        Take(response.type_url(), response.nonce(), response.version_info(), resources, {});
+        HandleResponse(response.type_url(), response.nonce(), response.version_info(), resources, {});
       }
-      Ended(whole_->Finish());
+      OnStreamEnded(sotw_stream_->Finish());
     }
   }
-  void Ended(grpc::Status status) {
+  void OnStreamEnded(grpc::Status status) {
     const std::lock_guard lock(mutex_);
     status_ = std::move(status);
-    ended_ = true;
+    has_ended_ = true;
     changed_.notify_all();
   }
 
-  static std::string NameOf(xds::ResourceType type, const discovery::Resource& resource) {
+  static std::string ResourceName(xds::ResourceType type, const discovery::Resource& resource) {
     if (!resource.name().empty()) return resource.name();
     envoy::config::endpoint::v3::ClusterLoadAssignment list;  // the name is field 1 of all types
     return list.ParseFromString(resource.resource().value()) && type <= xds::ResourceType::kRoute
@@ -258,24 +259,29 @@
                : "";
   }
 
-  void Take(const std::string& url, const std::string& nonce, const std::string& version,
-            const std::vector<discovery::Resource>& resources, const std::vector<std::string>& removed) {
+  void HandleResponse(const std::string& url, const std::string& nonce, const std::string& version,
+                      const std::vector<discovery::Resource>& resources,
+                      const std::vector<std::string>& removed) {
     const std::lock_guard lock(mutex_);
     const auto type = xds::TypeFromUrl(url);
-    if (!type || ignores_) return;
+    if (!type || ignores_responses_) return;
     order_.push_back(*type);
     std::vector<std::string> names;
-    bool beat = !resources.empty();
+    bool is_heartbeat = !resources.empty();
     for (const auto& resource : resources) {
-      names.push_back(NameOf(*type, resource));
-      beat = beat && !resource.has_resource();
+      names.push_back(ResourceName(*type, resource));
+      is_heartbeat = is_heartbeat && !resource.has_resource();
     }
-    const Reply what = reply(*type, names);
-    const std::string before = std::exchange(nonces_[*type], nonce);
-    if (what == Reply::kAck || what == Reply::kNothing || what == Reply::kStale) {
-      beat ? ++heartbeats_ : ++answers_[*type];
+    const Reaction reaction = react(*type, names);
+    const std::string previous_nonce = std::exchange(nonces_[*type], nonce);
+    if (reaction == Reaction::kAck || reaction == Reaction::kNoAnswer || reaction == Reaction::kStaleNonce) {
+      if (is_heartbeat) {
+        ++heartbeat_count_;
+      } else {
+        ++response_counts_[*type];
+      }
       for (const auto& resource : resources) {
-        Held& held = held_[*type][NameOf(*type, resource)];
+        Held& held = held_[*type][ResourceName(*type, resource)];
         if (resource.has_resource()) {
           held.version = resource.version();
           held.bytes = resource.resource().value();
@@ -287,19 +293,19 @@
         }
       }
       for (const std::string& name : removed) held_[*type].erase(name);
-      if (!recorded_pool_.empty() && *type == xds::ResourceType::kEndpoint) Record();
+      if (!recorded_pool_.empty() && *type == xds::ResourceType::kEndpoint) RecordUsedEndpoints();
     }
-    if (what != Reply::kNothing) {
-      const std::string& said = what == Reply::kStale ? before : nonce;
+    if (reaction != Reaction::kNoAnswer) {
+      const std::string& answered_nonce = reaction == Reaction::kStaleNonce ? previous_nonce : nonce;
       if (!delta_) {
-        SendWhole(*type, version, said, what == Reply::kNack);
+        SendStateOfTheWorld(*type, version, answered_nonce, reaction == Reaction::kNack);
       } else {
         discovery::DeltaDiscoveryRequest request;
         request.set_type_url(url);
-        request.set_response_nonce(said);
-        if (what == Reply::kNack)
+        request.set_response_nonce(answered_nonce);
+        if (reaction == Reaction::kNack)
           request.mutable_error_detail()->set_message("the stand-in does not like it");
-        changes_->Write(request);
+        delta_stream_->Write(request);
       }
     }
     changed_.notify_all();
@@ -310,29 +316,30 @@
   const int port_;
   std::shared_ptr<grpc::Channel> channel_;
   std::unique_ptr<grpc::ClientContext> context_;
-  std::unique_ptr<grpc::ClientReaderWriter<discovery::DiscoveryRequest, discovery::DiscoveryResponse>> whole_;
+  std::unique_ptr<grpc::ClientReaderWriter<discovery::DiscoveryRequest, discovery::DiscoveryResponse>>
+      sotw_stream_;
   std::unique_ptr<
       grpc::ClientReaderWriter<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>>
-      changes_;
+      delta_stream_;
   std::thread reader_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  bool first_ = true;
+  bool is_first_request_ = true;
   std::map<xds::ResourceType, std::vector<std::string>> names_;
   std::map<xds::ResourceType, std::string> nonces_;
   std::map<xds::ResourceType, std::map<std::string, Held>> held_;
-  std::map<xds::ResourceType, int> answers_;
+  std::map<xds::ResourceType, int> response_counts_;
   std::vector<xds::ResourceType> order_;
-  struct Use {
+  struct UsePeriod {
     Clock::time_point since, until;
     std::string version;
     std::set<std::string> addresses;
   };
-  std::string recorded_pool_, recorded_begin_;
-  std::deque<Use> uses_;
-  int heartbeats_ = 0;
-  std::atomic<bool> ignores_{false};
-  bool ended_ = false;
+  std::string recorded_pool_, recorded_address_prefix_;
+  std::deque<UsePeriod> use_periods_;
+  int heartbeat_count_ = 0;
+  std::atomic<bool> ignores_responses_{false};
+  bool has_ended_ = false;
   grpc::Status status_;
 };
 
@@ -347,16 +354,16 @@
 }
 
 // Whether it has received all of these. For conditions of Await, and after Await.
-inline bool IsWhole(XdsClient& client) {
+inline bool HasAllResources(XdsClient& client) {
   return client.held(xds::ResourceType::kCluster).size() == 2 &&
          client.held(xds::ResourceType::kEndpoint).size() == 2 &&
          client.held(xds::ResourceType::kListener).size() == 1 &&
          client.held(xds::ResourceType::kRoute).size() == 1;
 }
 
-inline bool MakeWhole(XdsClient& client) {
+inline bool ConnectAndReceiveAll(XdsClient& client) {
   SubscribeToAll(client);
-  return client.Await([&] { return IsWhole(client); });
+  return client.Await([&] { return HasAllResources(client); });
 }
 
 // Sends load reports as a proxy does, correct or false ones.
@@ -376,7 +383,7 @@
   }
 
   // Opens the stream and returns the requested reporting interval in ms; 0 if there is no response.
-  int Begin() {
+  int Start() {
     stream_ = stub_->StreamLoadStats(&context_);
     stats::LoadStatsRequest request;
     request.mutable_node()->set_id(id_);
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -69,8 +69,8 @@
   Process process(folder.Run());
   const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
-  ASSERT_TRUE(MakeWhole(client));
-  EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1"));
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
+  EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
   const Said status = RunProgram("status --json " + folder.Socket());
   ASSERT_EQ(status.code, 0) << status.text;
   const auto json = nlohmann::json::parse(status.text);
@@ -81,15 +81,15 @@
   const Said drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.code, 0) << drain.text;
   EXPECT_NE(drain.text.find("a is drained"), std::string::npos) << drain.text;
-  EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
-  EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
   EXPECT_EQ(RunProgram("drain nobody " + folder.Socket()).code, 1);
   EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).code, 1);
   EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).code, 0);
-  ASSERT_TRUE(client.Await([&] { return client.RoutesAsHeld("one", "10.0.0.1"); }));
+  ASSERT_TRUE(client.Await([&] { return client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   // A change of the membership file is applied.
   folder.Save("hosts.json", ServiceFolder::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
-  ASSERT_TRUE(client.Await([&] { return !client.RoutesAsHeld("one", "10.0.0.1"); }));
+  ASSERT_TRUE(client.Await([&] { return !client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
   EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 1);  // the service has ended
@@ -100,7 +100,7 @@
   ServiceFolder folder;
   Process process(folder.Run());
   XdsClient client(ServiceFolder::PortOf(process), true, "mute");
-  client.reply = [](ResourceType, auto&) { return XdsClient::Reply::kNothing; };
+  client.react = [](ResourceType, auto&) { return XdsClient::Reaction::kNoAnswer; };
   client.Connect();
   client.Subscribe(ResourceType::kEndpoint, {"two"});  // a static pool: no lease ends the wait
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
@@ -117,26 +117,27 @@
   int port = ServiceFolder::PortOf(*process);
   folder.Save("f.toml", ServiceFolder::Text(port));  // the same port after the restart
   XdsClient client(port, true, "proxy-1"), unresponsive(port, true, "deaf");
-  ASSERT_TRUE(MakeWhole(client));
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
   unresponsive.Connect();
   unresponsive.Subscribe(ResourceType::kEndpoint, {"one"});
-  ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.Routes("one", "10.0.0.1", true); }));
+  ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.MayRouteTo("one", "10.0.0.1", true); }));
   // From here on it ignores all messages and uses its endpoints until their lease expires.
-  unresponsive.Ignore();
+  unresponsive.IgnoreResponses();
   ASSERT_EQ(RunProgram("drain a " + folder.Socket()).code, 0);
   process->Kill();
   process->Wait();
-  ASSERT_TRUE(client.Await([&] { return client.ended(); }));
-  client.Drop();
+  ASSERT_TRUE(client.Await([&] { return client.has_ended(); }));
+  client.Disconnect();
   process.emplace(folder.Run());
   ASSERT_EQ(ServiceFolder::PortOf(*process), port);
   const Said drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_FALSE(unresponsive.Routes("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
+  EXPECT_FALSE(
+      unresponsive.MayRouteTo("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
   SubscribeToAll(client);
-  ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0 && IsWhole(client); }));
-  EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
-  EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
+  ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0 && HasAllResources(client); }));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
 }
 
 TEST(ControlCommand, LoadReportsChangeTheWeights) {
@@ -144,10 +145,10 @@
   Process process(folder.Run());
   const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
-  ASSERT_TRUE(MakeWhole(client));
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
   const std::uint32_t before = client.Weight("two", "10.0.0.3");
   LoadReporter reporter(port, "proxy-1");
-  EXPECT_EQ(reporter.Begin(), 100);  // ms, from the file
+  EXPECT_EQ(reporter.Start(), 100);  // ms, from the file
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   while (client.Weight("two", "10.0.0.3") * 2 > before && std::chrono::steady_clock::now() < end) {
     reporter.Report("two", {{"10.0.0.1", {100, 0, 10}}, {"10.0.0.3", {100, 0, 80}}});
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -12,7 +12,7 @@
 namespace opalswitch::testing {
 namespace {
 
-using Reply = XdsClient::Reply;
+using Reaction = XdsClient::Reaction;
 using xds::EndpointHealth;
 using xds::ResourceType;
 using xds::StreamHub;
@@ -77,17 +77,17 @@
 TEST_P(XdsServer, SendsAllResourcesAndThenADrain) {
   Service service;
   XdsClient client(service.server->port(), GetParam());
-  ASSERT_TRUE(MakeWhole(client));
-  EXPECT_TRUE(client.Routes("one", "10.0.0.1"));
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
+  EXPECT_TRUE(client.MayRouteTo("one", "10.0.0.1"));
   EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").until);   // a lease
   EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").until);  // none
-  ASSERT_TRUE(client.Await([&] { return client.heartbeats() >= 2; }));
+  ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() >= 2; }));
   const std::string before = client.Version(ResourceType::kEndpoint, "one");
   service.Publish(Assignments(EndpointHealth::kDraining), true);
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "one") != before; }));
   ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "two") != before; }));
-  EXPECT_FALSE(client.Routes("one", "10.0.0.1"));
-  EXPECT_TRUE(client.Routes("one", "10.0.0.2"));
+  EXPECT_FALSE(client.MayRouteTo("one", "10.0.0.1"));
+  EXPECT_TRUE(client.MayRouteTo("one", "10.0.0.2"));
 }
 
 // Guards against lost updates: the stream breaks at each message boundary of the first update, and the next
@@ -97,17 +97,19 @@
   for (int boundary = 0; boundary < 6; ++boundary) {
     XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
     int seen = 0;
-    client.reply = [&](ResourceType, auto&) { return ++seen > boundary ? Reply::kNothing : Reply::kAck; };
+    client.react = [&](ResourceType, auto&) {
+      return ++seen > boundary ? Reaction::kNoAnswer : Reaction::kAck;
+    };
     SubscribeToAll(client);
     client.Await([&] { return seen >= std::min(boundary, 4); });
-    client.Drop();
-    client.reply = [](ResourceType, auto&) { return Reply::kAck; };
+    client.Disconnect();
+    client.react = [](ResourceType, auto&) { return Reaction::kAck; };
     service.Publish(Assignments(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy),
                     true);
     SubscribeToAll(client);
-    ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << boundary;
-    ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0; })) << boundary;
-    EXPECT_EQ(client.Routes("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
+    ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << boundary;
+    ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0; })) << boundary;
+    EXPECT_EQ(client.MayRouteTo("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
   }
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
@@ -123,11 +125,11 @@
       XdsClient cut_off(relay.port(), GetParam(), "proxy-" + std::to_string(cut));
       SubscribeToAll(cut_off);
       // Either the connection was cut, or everything arrived before the cut.
-      ASSERT_TRUE(cut_off.Await([&] { return cut_off.ended() || IsWhole(cut_off); })) << cut;
+      ASSERT_TRUE(cut_off.Await([&] { return cut_off.has_ended() || HasAllResources(cut_off); })) << cut;
     }
     SubscribeToAll(client);
-    ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << cut;
-    EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1")) << cut;
+    ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << cut;
+    EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1")) << cut;
   }
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
@@ -135,10 +137,10 @@
 TEST_P(XdsServer, NackDoesNotHoldBackOtherResourcesAndIsCounted) {
   Service service;
   XdsClient client(service.server->port(), GetParam());
-  client.reply = [](ResourceType type, const auto& names) {
+  client.react = [](ResourceType type, const auto& names) {
     const bool bad =
         type == ResourceType::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
-    return bad ? Reply::kNack : Reply::kAck;
+    return bad ? Reaction::kNack : Reaction::kAck;
   };
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
@@ -159,13 +161,13 @@
   Service service(options);
   XdsClient silent(service.server->port(), GetParam(), "silent"),
       good(service.server->port(), GetParam(), "good");
-  silent.reply = [](ResourceType, auto&) { return Reply::kNothing; };
+  silent.react = [](ResourceType, auto&) { return Reaction::kNoAnswer; };
   SubscribeToAll(good);
   SubscribeToAll(silent);
-  ASSERT_TRUE(silent.Await([&] { return silent.ended(); }));
+  ASSERT_TRUE(silent.Await([&] { return silent.has_ended(); }));
   EXPECT_EQ(silent.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
   EXPECT_EQ(silent.status().error_message(), "acknowledges nothing");
-  EXPECT_FALSE(good.ended());
+  EXPECT_FALSE(good.has_ended());
 }
 
 TEST_P(XdsServer, TwoInstancesSendTheSameVersions) {
@@ -173,8 +175,8 @@
   XdsClient client(one.server->port(), GetParam()), other(two.server->port(), GetParam());
   SubscribeToAll(client);
   SubscribeToAll(other);
-  ASSERT_TRUE(client.Await([&] { return IsWhole(client); }));
-  ASSERT_TRUE(other.Await([&] { return IsWhole(other); }));
+  ASSERT_TRUE(client.Await([&] { return HasAllResources(client); }));
+  ASSERT_TRUE(other.Await([&] { return HasAllResources(other); }));
   for (const ResourceType type :
        {ResourceType::kCluster, ResourceType::kEndpoint, ResourceType::kListener, ResourceType::kRoute}) {
     for (const auto& [name, held] : client.held(type))
@@ -192,9 +194,9 @@
   options.hub.max_streams = 1;
   Service service(options);
   XdsClient first(service.server->port(), true), second(service.server->port(), true);
-  ASSERT_TRUE(MakeWhole(first));
+  ASSERT_TRUE(ConnectAndReceiveAll(first));
   second.Connect();
-  ASSERT_TRUE(second.Await([&] { return second.ended(); }));
+  ASSERT_TRUE(second.Await([&] { return second.has_ended(); }));
   EXPECT_EQ(second.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
@@ -205,7 +207,7 @@
   options.max_queued_bytes = 256 * 1024;
   Service service(options);
   XdsClient good(service.server->port(), true, "good");
-  ASSERT_TRUE(MakeWhole(good));
+  ASSERT_TRUE(ConnectAndReceiveAll(good));
   const auto channel = grpc::CreateChannel("127.0.0.1:" + std::to_string(service.server->port()),
                                            grpc::InsecureChannelCredentials());
   grpc::ClientContext context;
@@ -225,8 +227,9 @@
   }
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 1; }));
   service.Publish(Assignments(EndpointHealth::kDraining), true);
-  EXPECT_TRUE(good.Await(
-      [&] { return !good.RoutesAsHeld("one", "10.0.0.1") && good.RoutesAsHeld("one", "10.0.0.2"); }));
+  EXPECT_TRUE(good.Await([&] {
+    return !good.HoldsHealthyEndpoint("one", "10.0.0.1") && good.HoldsHealthyEndpoint("one", "10.0.0.2");
+  }));
   context.TryCancel();
 }
 
@@ -251,18 +254,19 @@
   };
   each(connect);
   for (const auto& proxy : proxies)
-    ASSERT_TRUE(proxy->Await([&] { return proxy->RoutesAsHeld("one", "10.0.0.1") || proxy->ended(); }))
-        << proxy->answers(ResourceType::kEndpoint);
-  for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
+    ASSERT_TRUE(proxy->Await([&] {
+      return proxy->HoldsHealthyEndpoint("one", "10.0.0.1") || proxy->has_ended();
+    })) << proxy->response_count(ResourceType::kEndpoint);
+  for (const auto& proxy : proxies) EXPECT_FALSE(proxy->has_ended()) << proxy->status().error_message();
   std::thread drain(
       [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // while they reconnect
   each([&](XdsClient& proxy) {
-    proxy.Drop();
+    proxy.Disconnect();
     connect(proxy);
   });
   drain.join();
   for (const auto& proxy : proxies)
-    EXPECT_TRUE(proxy->Await([&] { return !proxy->RoutesAsHeld("one", "10.0.0.1"); }));
+    EXPECT_TRUE(proxy->Await([&] { return !proxy->HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 200; }));
 }
 
