--- a/bench/xds_drains.cpp
+++ b/bench/xds_drains.cpp
@@ -1,7 +1,7 @@
-// How long a proxy may still send to a node that drains: from the instant of the drain to the last moment at
-// which the stand-in proxy would route to it, over many drains of a strict pool, over real sockets, with
-// faults: proxies that lose their stream, read nothing for a while, or come back at once, all 200 of them now
-// and then.
+// Measures how long a proxy may still send to a draining node: from the drain to the last time at which the
+// stand-in proxy would route to the node. Many drains of a strict pool over real sockets, with faults:
+// proxies that lose their stream, read nothing for a while, or reconnect at once, sometimes half of them
+// together.
 //   xds_drains [PROXIES [DRAINS [STEP_MS]]]
 #include <sys/resource.h>
 
@@ -23,16 +23,16 @@
 using xds::ResourceType;
 
 constexpr int kNodes = 60;
-constexpr auto kHeld = milliseconds(1000);  // from a node's drain to its end: longer than any lease
+constexpr auto kObservationTime = milliseconds(1000);  // from a drain to its end; longer than any lease
 
-double Ms(Clock::duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
+double ToMs(Clock::duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
 struct Drain {
   int node;
   Clock::time_point at;
 };
 
-int Play(int count, int drains, milliseconds step) {
+int RunBenchmark(int count, int drains, milliseconds step) {
   std::string text =
       "[[listener]]\nid = \"in\"\naddress = \"127.0.0.1:0\"\n[[class]]\nid = \"view\"\neffect = "
       "\"safe\"\naim = "
@@ -70,21 +70,21 @@
   }
   std::mt19937 random(7);
   std::vector<double> times;
-  std::size_t faults = 0, late = 0;
+  std::size_t faults = 0, late_count = 0;
   std::map<std::size_t, Clock::time_point>
-      away;  // proxies that lost their stream or read nothing, until when
-  std::vector<Drain> open;
+      away;  // proxies without a stream or that read nothing, and until when
+  std::vector<Drain> active_drains;
   double worst = 0;
-  const auto begun = Clock::now();
-  for (int done = 0, next = 0; done < drains || !open.empty();) {
+  const auto started_at = Clock::now();
+  for (int started = 0, next = 0; started < drains || !active_drains.empty();) {
     std::this_thread::sleep_for(step);
-    // Faults, before, at and after drains alike.
-    const bool all = count > 1 && random() % 100 == 0;
-    for (std::size_t i = 0; i < proxies.size() && done < drains; ++i) {
-      if (away.contains(i) || random() % (all ? 2 : 40) != 0) continue;
+    // Faults occur before, during and after drains.
+    const bool all_fail = count > 1 && random() % 100 == 0;
+    for (std::size_t i = 0; i < proxies.size() && started < drains; ++i) {
+      if (away.contains(i) || random() % (all_fail ? 2 : 40) != 0) continue;
       ++faults;
       const auto kind = random() % 3;
-      if (kind == 2 || all) {
+      if (kind == 2 || all_fail) {
         proxies[i]->Disconnect();
         connect(*proxies[i]);  // at once
         continue;
@@ -92,16 +92,16 @@
       away[i] = Clock::now() + milliseconds(50 + random() % 700);
       kind == 0 ? proxies[i]->Disconnect() : proxies[i]->IgnoreResponses();
     }
-    if (done < drains) {
+    if (started < drains) {
       const int node = next++ % kNodes;
-      const bool free =
-          std::none_of(open.begin(), open.end(), [&](const Drain& d) { return d.node == node; });
-      if (free) {
-        const auto at = Clock::now();  // told; all that the service needs from here on counts
+      const bool is_available = std::none_of(active_drains.begin(), active_drains.end(),
+                                             [&](const Drain& d) { return d.node == node; });
+      if (is_available) {
+        const auto at = Clock::now();  // the time that the service needs from here on counts
         server.RunOnDecisionThread(
             [&](xds::StreamHub&, Millis now) { return control->Drain("n" + std::to_string(node), now); });
-        open.push_back({node, at});
-        ++done;
+        active_drains.push_back({node, at});
+        ++started;
       }
     }
     for (auto at = away.begin(); at != away.end();) {
@@ -113,28 +113,28 @@
       connect(*proxies[at->first]);
       at = away.erase(at);
     }
-    for (auto drain = open.begin(); drain != open.end();) {
-      const auto until = drain->at + kHeld;
+    for (auto drain = active_drains.begin(); drain != active_drains.end();) {
+      const auto until = drain->at + kObservationTime;
       if (Clock::now() < until) {
         ++drain;
         continue;
       }
       for (const auto& proxy : proxies) {
         const auto last = proxy->LastUse("10.0.0." + std::to_string(drain->node + 1), drain->at, until);
-        const double ms = last ? Ms(*last - drain->at) : 0;
+        const double ms = last ? ToMs(*last - drain->at) : 0;
         times.push_back(ms);
-        late += ms >= 500;
+        late_count += ms >= 500;
         worst = std::max(worst, ms);
       }
       server.RunOnDecisionThread([&](xds::StreamHub&, Millis now) {
         return control->Undrain("n" + std::to_string(drain->node), now);
       });
-      drain = open.erase(drain);
+      drain = active_drains.erase(drain);
     }
   }
   std::sort(times.begin(), times.end());
-  const auto part = [&](double q) {
-    return times[static_cast<std::size_t>(q * static_cast<double>(times.size() - 1))];
+  const auto quantile = [&](double fraction) {
+    return times[static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1))];
   };
   rusage usage;
   getrusage(RUSAGE_SELF, &usage);
@@ -142,21 +142,22 @@
       "%4d proxies, %d drains, %zu faults: last use after 50%% %.1f ms, 90%% %.1f, 99%% %.1f, 99.9%% %.1f, "
       "worst "
       "%.1f; %zu at 500 ms or later; %.0f s\n",
-      count, drains, faults, part(0.5), part(0.9), part(0.99), part(0.999), worst, late,
-      Ms(Clock::now() - begun) / 1000);
+      count, drains, faults, quantile(0.5), quantile(0.9), quantile(0.99), quantile(0.999), worst, late_count,
+      ToMs(Clock::now() - started_at) / 1000);
   std::fflush(stdout);
   for (const auto& proxy : proxies) proxy->Disconnect();
   server.RunOnDecisionThread([&](xds::StreamHub&, Millis) { return ControlPlane::OutgoingMessages(); });
-  return late == 0 ? 0 : 1;
+  return late_count == 0 ? 0 : 1;
 }
 
 }  // namespace
 }  // namespace opalswitch::testing
 
 int main(int argc, char** argv) {
-  using opalswitch::testing::Play;
-  const auto number = [&](int i, int usual) { return argc > i ? std::atoi(argv[i]) : usual; };
-  if (argc > 1) return Play(number(1, 50), number(2, 1000), std::chrono::milliseconds(number(3, 20)));
-  return Play(1, 1000, std::chrono::milliseconds(20)) + Play(50, 1000, std::chrono::milliseconds(20)) +
-         Play(500, 1000, std::chrono::milliseconds(60));
+  using opalswitch::testing::RunBenchmark;
+  const auto number = [&](int i, int default_value) { return argc > i ? std::atoi(argv[i]) : default_value; };
+  if (argc > 1) return RunBenchmark(number(1, 50), number(2, 1000), std::chrono::milliseconds(number(3, 20)));
+  return RunBenchmark(1, 1000, std::chrono::milliseconds(20)) +
+         RunBenchmark(50, 1000, std::chrono::milliseconds(20)) +
+         RunBenchmark(500, 1000, std::chrono::milliseconds(60));
 }
--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -1,6 +1,6 @@
-// What one endpoint's change costs the control service: CPU and bytes a proxy, and what a proxy takes of
-// memory. Endpoint by endpoint (LEDS, delta), whole lists by delta, and state of the world. No sockets:
-// messages are built and serialised as they are sent, and acknowledged at once.
+// Measures the cost of one endpoint's change for the control service: CPU time and bytes per proxy, and
+// memory per proxy. With LEDS (delta), with whole ClusterLoadAssignments (delta), and with state of the
+// world. No sockets: messages are built and serialized as for sending, and acknowledged at once.
 //   xds_push [PROXIES [ROUNDS]]
 #include <malloc.h>
 #include <time.h>
@@ -32,7 +32,7 @@
   return static_cast<double>(now.tv_sec) * 1e6 + static_cast<double>(now.tv_nsec) / 1e3;
 }
 
-std::shared_ptr<const config::Services> Services(bool each) {
+std::shared_ptr<const config::Services> Services(bool uses_leds) {
   const auto parsed = config::ParseServices(
       std::string(
           "[[listener]]\nid = \"in\"\naddress = \"127.0.0.1:0\"\n[[class]]\nid = \"view\"\neffect = "
@@ -40,16 +40,16 @@
           "aim = \"1s\"\ndeadline = \"2s\"\n[[pool]]\nid = \"p\"\ndrain = \"strict\"\n"
           "membership = { source = \"file\", file = \"x\" }\n[[route]]\npool = \"p\"\nclass = \"view\"\n"
           "[control]\ngroup = [{ id = \"g\", each_endpoint = ") +
-          (each ? "true" : "false") + " }]\n",
+          (uses_leds ? "true" : "false") + " }]\n",
       "bench", "");
   if (!parsed.services) std::abort();
   return parsed.services;
 }
 
-struct World {
-  World(bool each, Session::Variant of, int hosts, std::size_t proxies)
-      : variant(of), control(hub, 1, [](const std::string&) {}) {
-    Deliver(control.Configure(Services(each), now));
+struct Simulation {
+  Simulation(bool uses_leds, Session::Variant variant_in, int hosts, std::size_t proxies)
+      : variant(variant_in), control(hub, 1, [](const std::string&) {}) {
+    Deliver(control.Configure(Services(uses_leds), now));
     gateway::HostList list;
     for (int i = 0; i < hosts; ++i) {
       gateway::Host host;
@@ -68,13 +68,13 @@
       request.type = ResourceType::kEndpoint;
       request.names = request.subscribe = {"p"};
       Deliver(hub.HandleRequest(stream, Node(stream), request, now));
-      if (!each) continue;
+      if (!uses_leds) continue;
       XdsRequest members;
       members.type = ResourceType::kLbEndpoint;
       members.subscribe = {"xdstp:///envoy.config.endpoint.v3.LbEndpoint/p/zone-/*"};
       Deliver(hub.HandleRequest(stream, Node(stream), members, now));
     }
-    memory = (static_cast<double>(mallinfo2().uordblks) - before) / static_cast<double>(proxies);
+    memory_per_proxy = (static_cast<double>(mallinfo2().uordblks) - before) / static_cast<double>(proxies);
   }
   static xds::ProxyNode Node(StreamHub::StreamId stream) {
     return {"proxy-" + std::to_string(stream), "", ""};
@@ -85,9 +85,9 @@
       std::vector<StreamHub::OutgoingMessage> next;
       for (const StreamHub::OutgoingMessage& out : all) {
         if (variant == Session::Variant::kDelta) {
-          Serialise<discovery::DeltaDiscoveryResponse>(out);
+          Serialize<discovery::DeltaDiscoveryResponse>(out);
         } else {
-          Serialise<discovery::DiscoveryResponse>(out);
+          Serialize<discovery::DiscoveryResponse>(out);
         }
         XdsRequest ack;
         ack.type = out.response.type;
@@ -102,7 +102,7 @@
     }
   }
   template <typename Message>
-  void Serialise(const StreamHub::OutgoingMessage& out) {
+  void Serialize(const StreamHub::OutgoingMessage& out) {
     Message message;
     xds::FillResponse(message, out, 400, "bench");
     std::string text;
@@ -114,7 +114,7 @@
   const Session::Variant variant;
   StreamHub hub{xds::StreamHubOptions()};
   ControlPlane control;
-  double bytes = 0, memory = 0;
+  double bytes = 0, memory_per_proxy = 0;
 };
 
 double Median(std::vector<double> values) {
@@ -131,7 +131,7 @@
   const int rounds = argc > 2 ? std::atoi(argv[2]) : 9;
   struct Kind {
     const char* name;
-    bool each;
+    bool uses_leds;
     Session::Variant variant;
   };
   const Kind kinds[] = {{"LEDS, delta", true, Session::Variant::kDelta},
@@ -144,27 +144,29 @@
       proxies, rounds);
   for (const Kind& kind : kinds) {
     for (const int hosts : {10, 1000, 10000}) {
-      World world(kind.each, kind.variant, hosts, proxies);
-      std::vector<double> once, each, bytes;
+      Simulation simulation(kind.uses_leds, kind.variant, hosts, proxies);
+      std::vector<double> decision_us, per_proxy_us, bytes_per_proxy;
       for (int i = 0; i < rounds; ++i) {
         const std::string node = "node-" + std::to_string(i);
-        world.bytes = 0;
-        const double begun = CpuMicros();
-        auto out = world.control.Drain(node, world.now);
-        const double decided = CpuMicros();
-        world.Deliver(std::move(out));
-        const double done = CpuMicros();
-        if (!world.control.PendingProxies(node, world.now).empty()) std::abort();
-        once.push_back(decided - begun);
-        each.push_back((done - decided) / static_cast<double>(proxies));
-        bytes.push_back(world.bytes / static_cast<double>(proxies));
+        simulation.bytes = 0;
+        const double started_us = CpuMicros();
+        auto messages = simulation.control.Drain(node, simulation.now);
+        const double decided_us = CpuMicros();
+        simulation.Deliver(std::move(messages));
+        const double done_us = CpuMicros();
+        if (!simulation.control.PendingProxies(node, simulation.now).empty()) std::abort();
+        decision_us.push_back(decided_us - started_us);
+        per_proxy_us.push_back((done_us - decided_us) / static_cast<double>(proxies));
+        bytes_per_proxy.push_back(simulation.bytes / static_cast<double>(proxies));
       }
       std::printf(
           "%-13s %6d endpoints: once %8.0f us, a proxy %8.1f us (%.1f to %.1f) and %9.0f bytes; %8.0f bytes "
           "of "
           "memory a proxy\n",
-          kind.name, hosts, Median(once), Median(each), *std::min_element(each.begin(), each.end()),
-          *std::max_element(each.begin(), each.end()), Median(bytes), world.memory);
+          kind.name, hosts, Median(decision_us), Median(per_proxy_us),
+          *std::min_element(per_proxy_us.begin(), per_proxy_us.end()),
+          *std::max_element(per_proxy_us.begin(), per_proxy_us.end()), Median(bytes_per_proxy),
+          simulation.memory_per_proxy);
       std::fflush(stdout);
     }
   }
