--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -30,13 +30,13 @@
 
 bool Session::HasAcceptedLatest(ResourceType type, const std::string& name) const {
   const TypeState& state = StateOf(type);
-  const ResourcePtr held = state.accepted.Find(name), latest = state.latest.Find(name);
-  return held && latest && held->version == latest->version;
+  const ResourcePtr accepted = state.accepted.Find(name), latest = state.latest.Find(name);
+  return accepted && latest && accepted->version == latest->version;
 }
 
 ResourcePtr Session::OldestUsable(ResourceType type, const std::string& name) const {
   const TypeState& state = StateOf(type);
-  if (ResourcePtr held = state.accepted.Find(name)) return held;
+  if (ResourcePtr accepted = state.accepted.Find(name)) return accepted;
   for (const SentResponse& sent : state.unacknowledged) {
     const auto found = sent.changed.find(name);
     if (found != sent.changed.end()) return found->second;
@@ -298,9 +298,9 @@
       sent.changed[name] = desired;
     } else if (known != desired) {
       // Known by version only until now (initial_versions), or rebuilt with the same content.
-      const ResourcePtr held = state.accepted.Find(name);
+      const ResourcePtr accepted = state.accepted.Find(name);
       state.latest.Set(name, desired);
-      if (held && held->version == desired->version) state.accepted.Set(name, desired);
+      if (accepted && accepted->version == desired->version) state.accepted.Set(name, desired);
     }
     return;
   }
@@ -409,8 +409,8 @@
     if (is_full_state && state.retry_individually.empty()) {
       // The response lists everything: if it is rejected, any resource not accepted before may be the cause.
       for (const auto& [name, resource] : *whole) {
-        const ResourcePtr held = state.accepted.Find(name);
-        if (!held || held->version != resource->version) sent.changed[name] = resource;
+        const ResourcePtr accepted = state.accepted.Find(name);
+        if (!accepted || accepted->version != resource->version) sent.changed[name] = resource;
       }
     }
     state.must_respond = false;
@@ -422,8 +422,8 @@
       for (const auto& [name, resource] : *whole) {
         if (sent.changed.contains(name)) {
           response.resources.push_back(resource);
-        } else if (const ResourcePtr held = state.accepted.Find(name)) {
-          response.resources.push_back(held);
+        } else if (const ResourcePtr accepted = state.accepted.Find(name)) {
+          response.resources.push_back(accepted);
         } else if (state.latest.Find(name)) {
           response.resources.push_back(resource);
         }
--- a/src/xds/tls.cpp
+++ b/src/xds/tls.cpp
@@ -44,9 +44,9 @@
   if (names.empty()) return true;
   const auto caller = context.auth_context();
   if (!caller || !caller->IsPeerAuthenticated()) return false;
-  auto held = caller->FindPropertyValues("x509_subject_alternative_name");
-  if (held.empty()) held = caller->FindPropertyValues("x509_common_name");
-  return std::any_of(held.begin(), held.end(), [&](const grpc::string_ref& name) {
+  auto caller_names = caller->FindPropertyValues("x509_subject_alternative_name");
+  if (caller_names.empty()) caller_names = caller->FindPropertyValues("x509_common_name");
+  return std::any_of(caller_names.begin(), caller_names.end(), [&](const grpc::string_ref& name) {
     return std::find(names.begin(), names.end(), std::string(name.data(), name.size())) != names.end();
   });
 }
--- a/tests/standins/xds_client.hpp
+++ b/tests/standins/xds_client.hpp
@@ -33,9 +33,9 @@
 class XdsClient {
  public:
   using Clock = std::chrono::steady_clock;
-  struct Held {
+  struct HeldResource {
     std::string version, bytes;
-    std::optional<Clock::time_point> until;  // expiry of its lease, if it has one
+    std::optional<Clock::time_point> lease_expiry;  // if it has a lease
   };
   // How it reacts to a response.
   enum class Reaction { kAck, kNack, kNoAnswer, kStaleNonce };
@@ -84,7 +84,7 @@
     request.set_type_url(std::string(xds::TypeUrl(type)));
     for (const std::string& name : names) request.add_resource_names_subscribe(name);
     std::erase_if(held_[type], [](const auto& entry) {
-      return entry.second.until && Clock::now() >= *entry.second.until;
+      return entry.second.lease_expiry && Clock::now() >= *entry.second.lease_expiry;
     });
     for (const auto& [name, held] : held_[type])
       (*request.mutable_initial_resource_versions())[name] = held.version;
@@ -97,7 +97,7 @@
     return changed_.wait_for(lock, std::chrono::seconds(30), condition);
   }
   // The following are for use in conditions of Await, and after Await.
-  const std::map<std::string, Held>& held(xds::ResourceType type) { return held_[type]; }
+  const std::map<std::string, HeldResource>& held(xds::ResourceType type) { return held_[type]; }
   std::string Version(xds::ResourceType type, const std::string& name) {
     const auto found = held_[type].find(name);
     return found == held_[type].end() ? "" : found->second.version;
@@ -141,7 +141,7 @@
     if (!is_locked) lock.lock();
     const auto found = held_[xds::ResourceType::kEndpoint].find(pool);
     if (found == held_[xds::ResourceType::kEndpoint].end()) return false;
-    if (found->second.until && Clock::now() >= *found->second.until) return false;
+    if (found->second.lease_expiry && Clock::now() >= *found->second.lease_expiry) return false;
     return WeightOf(found->second, address) > 0;
   }
   // The same regardless of the lease. For conditions of Await, and after Await.
@@ -161,7 +161,7 @@
   };
 
  private:
-  static std::uint32_t WeightOf(const Held& held, const std::string& address) {
+  static std::uint32_t WeightOf(const HeldResource& held, const std::string& address) {
     envoy::config::endpoint::v3::ClusterLoadAssignment list;
     if (!list.ParseFromString(held.bytes)) return 0;
     for (const auto& locality : list.endpoints()) {
@@ -180,7 +180,7 @@
     period.since = Clock::now();
     const auto found = held_[xds::ResourceType::kEndpoint].find(recorded_pool_);
     if (found != held_[xds::ResourceType::kEndpoint].end()) {
-      period.until = found->second.until.value_or(Clock::time_point::max());
+      period.until = found->second.lease_expiry.value_or(Clock::time_point::max());
       if (!use_periods_.empty() && use_periods_.back().version == found->second.version) {
         period.addresses = use_periods_.back().addresses;
       } else {
@@ -281,15 +281,15 @@
         ++response_counts_[*type];
       }
       for (const auto& resource : resources) {
-        Held& held = held_[*type][ResourceName(*type, resource)];
+        HeldResource& held = held_[*type][ResourceName(*type, resource)];
         if (resource.has_resource()) {
           held.version = resource.version();
           held.bytes = resource.resource().value();
         }
-        held.until.reset();
+        held.lease_expiry.reset();
         if (resource.has_ttl()) {
-          held.until = Clock::now() + std::chrono::seconds(resource.ttl().seconds()) +
-                       std::chrono::nanoseconds(resource.ttl().nanos());
+          held.lease_expiry = Clock::now() + std::chrono::seconds(resource.ttl().seconds()) +
+                              std::chrono::nanoseconds(resource.ttl().nanos());
         }
       }
       for (const std::string& name : removed) held_[*type].erase(name);
@@ -327,7 +327,7 @@
   bool is_first_request_ = true;
   std::map<xds::ResourceType, std::vector<std::string>> names_;
   std::map<xds::ResourceType, std::string> nonces_;
-  std::map<xds::ResourceType, std::map<std::string, Held>> held_;
+  std::map<xds::ResourceType, std::map<std::string, HeldResource>> held_;
   std::map<xds::ResourceType, int> response_counts_;
   std::vector<xds::ResourceType> order_;
   struct UsePeriod {
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -79,8 +79,8 @@
   XdsClient client(service.server->port(), GetParam());
   ASSERT_TRUE(ConnectAndReceiveAll(client));
   EXPECT_TRUE(client.MayRouteTo("one", "10.0.0.1"));
-  EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").until);   // a lease
-  EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").until);  // none
+  EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").lease_expiry);   // strict: a lease
+  EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").lease_expiry);  // static: none
   ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() >= 2; }));
   const std::string before = client.Version(ResourceType::kEndpoint, "one");
   service.Publish(Assignments(EndpointHealth::kDraining), true);
