--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -114,16 +114,16 @@
 std::optional<std::string> Session::HandleStateOfTheWorld(TypeState& state, const XdsRequest& request,
                                                           const Snapshot& snapshot) {
   std::set<std::string> wanted(request.names.begin(), request.names.end());
-  const bool first = !std::exchange(state.has_requested, true);
-  const bool wildcard =
-      IsFullStateType(request.type) && (wanted.empty() ? first || state.is_wildcard : wanted.contains("*"));
-  if (!first && wildcard == state.is_wildcard && wanted == state.names) return std::nullopt;
+  const bool is_first = !std::exchange(state.has_requested, true);
+  const bool is_wildcard = IsFullStateType(request.type) &&
+                           (wanted.empty() ? is_first || state.is_wildcard : wanted.contains("*"));
+  if (!is_first && is_wildcard == state.is_wildcard && wanted == state.names) return std::nullopt;
   state.needs_full_comparison = true;
-  if (first) {
+  if (is_first) {
     state.must_respond = true;
     // A proxy that has switched from another instance, or reconnected after a restart, and already has the
     // current list: nothing is sent.
-    if (wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
+    if (is_wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
       state.must_respond = false;
       snapshot.table(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
         state.accepted.Set(name, resource);
@@ -132,8 +132,8 @@
     }
   }
   for (const std::string& name : wanted)
-    state.must_respond = state.must_respond || (!first && !state.names.contains(name));
-  state.is_wildcard = wildcard;
+    state.must_respond = state.must_respond || (!is_first && !state.names.contains(name));
+  state.is_wildcard = is_wildcard;
   state.names = std::move(wanted);
   ForgetUnwanted(state);
   return std::nullopt;
@@ -141,10 +141,10 @@
 
 std::optional<std::string> Session::HandleDelta(TypeState& state, const XdsRequest& request,
                                                 const Snapshot& snapshot) {
-  const bool first = !std::exchange(state.has_requested, true);
-  if (!first && request.subscribe.empty() && request.unsubscribe.empty()) return std::nullopt;
+  const bool is_first = !std::exchange(state.has_requested, true);
+  if (!is_first && request.subscribe.empty() && request.unsubscribe.empty()) return std::nullopt;
   state.needs_full_comparison = true;
-  if (first) {
+  if (is_first) {
     state.must_respond = true;
     state.is_wildcard = IsFullStateType(request.type) && request.subscribe.empty();
     for (const auto& [name, version] : request.initial_versions) {
@@ -164,11 +164,11 @@
       state.is_wildcard = true;
     } else if (is_collection(name)) {
       const std::string collection = name.substr(0, name.size() - 1);
-      if (!first) ForgetCollection(state, collection);
+      if (!is_first) ForgetCollection(state, collection);
       state.collections.insert(collection);
     } else {
       // Subscribing to a name again requests the resource again, unless the proxy says that it has it.
-      if (!(first && request.initial_versions.contains(name))) ForgetResource(state, name);
+      if (!(is_first && request.initial_versions.contains(name))) ForgetResource(state, name);
       state.names.insert(name);
     }
   }
@@ -199,9 +199,9 @@
     ++acks_;
     // Responses are processed in order: an ACK covers all earlier ones, too.
     const auto end = found + 1;
-    bool content = false;
+    bool has_changes = false;
     for (auto sent = state.unacknowledged.begin(); sent != end; ++sent) {
-      content = content || !sent->changed.empty() || !sent->removed.empty();
+      has_changes = has_changes || !sent->changed.empty() || !sent->removed.empty();
       for (const auto& [name, resource] : sent->changed) {
         if (!IsWanted(state, name)) continue;
         state.accepted.Set(name, resource);
@@ -210,7 +210,7 @@
       for (const std::string& name : sent->removed) state.accepted.Erase(name);
     }
     state.unacknowledged.erase(state.unacknowledged.begin(), end);
-    if (request.type == ResourceType::kRoute && content) {
+    if (request.type == ResourceType::kRoute && has_changes) {
       state.route_clusters.clear();
       state.accepted.ForEach([&](const std::string&, const ResourcePtr& resource) {
         state.route_clusters.insert(resource->referenced_clusters.begin(),
@@ -220,7 +220,7 @@
       StateOf(ResourceType::kCluster).needs_full_comparison = true;
     }
     // The proxy holds its collections exactly as the snapshot has them: share the snapshot's table.
-    if (content && state.unacknowledged.empty() && !state.needs_full_comparison &&
+    if (has_changes && state.unacknowledged.empty() && !state.needs_full_comparison &&
         state.compared_serial == snapshot.serial() && state.rejected_versions.empty() &&
         state.names.empty() && !state.is_wildcard && !state.collections.empty()) {
       state.accepted.ShareCollections(snapshot.shared_table(request.type), state.collections);
@@ -318,7 +318,7 @@
 
 Session::SentResponse Session::ComputeChanges(ResourceType type, const Snapshot& snapshot,
                                               const std::optional<std::set<std::string>>& names,
-                                              std::optional<ResourceMap>& whole) {
+                                              std::optional<ResourceMap>& all_desired) {
   TypeState& state = StateOf(type);
   SentResponse sent;
   if (names) {
@@ -332,15 +332,15 @@
       return sent;
     sent = SentResponse();
   }
-  whole = AllDesired(type, snapshot);
-  for (const auto& [name, resource] : *whole) CompareResource(type, name, resource, sent);
+  all_desired = AllDesired(type, snapshot);
+  for (const auto& [name, resource] : *all_desired) CompareResource(type, name, resource, sent);
   std::vector<std::string> rest;
   state.latest.ForEach([&](const std::string& name, const ResourcePtr&) {
-    if (!whole->contains(name)) rest.push_back(name);
+    if (!all_desired->contains(name)) rest.push_back(name);
   });
   rest.insert(rest.end(), state.names.begin(), state.names.end());
   for (const std::string& name : rest) {
-    if (!whole->contains(name) && !snapshot.IsPlaceholder(type, name))
+    if (!all_desired->contains(name) && !snapshot.IsPlaceholder(type, name))
       CompareResource(type, name, nullptr, sent);
   }
   return sent;
@@ -388,8 +388,8 @@
       is_blocked_ = true;
       continue;
     }
-    std::optional<ResourceMap> whole;
-    SentResponse sent = ComputeChanges(type, snapshot, names, whole);
+    std::optional<ResourceMap> all_desired;
+    SentResponse sent = ComputeChanges(type, snapshot, names, all_desired);
     state.needs_full_comparison = false;
     state.compared_serial = snapshot.serial();
     const bool is_full_state = variant_ == Variant::kStateOfTheWorld && IsFullStateType(type);
@@ -405,10 +405,10 @@
     }
     if (sent.changed.empty() && sent.removed.empty() && !state.must_respond) continue;
     if (!is_full_state) LimitResponseSize(state, sent);
-    if (is_full_state && !whole) whole = AllDesired(type, snapshot);
+    if (is_full_state && !all_desired) all_desired = AllDesired(type, snapshot);
     if (is_full_state && state.retry_individually.empty()) {
       // The response lists everything: if it is rejected, any resource not accepted before may be the cause.
-      for (const auto& [name, resource] : *whole) {
+      for (const auto& [name, resource] : *all_desired) {
         const ResourcePtr accepted = state.accepted.Find(name);
         if (!accepted || accepted->version != resource->version) sent.changed[name] = resource;
       }
@@ -419,7 +419,7 @@
     response.version = snapshot.version(type);
     response.nonce = sent.nonce = std::to_string(++nonces_);
     if (is_full_state) {
-      for (const auto& [name, resource] : *whole) {
+      for (const auto& [name, resource] : *all_desired) {
         if (sent.changed.contains(name)) {
           response.resources.push_back(resource);
         } else if (const ResourcePtr accepted = state.accepted.Find(name)) {
--- a/src/xds/session.hpp
+++ b/src/xds/session.hpp
@@ -147,11 +147,11 @@
   // Adds the difference between the desired and the latest version of one name to `sent`.
   void CompareResource(ResourceType type, const std::string& name, const ResourcePtr& desired,
                        SentResponse& sent);
-  // Returns all changes of a type to be sent: of `names`, or of all names if it is nullopt. `whole` receives
-  // the desired resources if they had to be computed.
+  // Returns all changes of a type to be sent: of `names`, or of all names if it is nullopt. `all_desired`
+  // receives the desired resources if they had to be computed.
   SentResponse ComputeChanges(ResourceType type, const Snapshot& snapshot,
                               const std::optional<std::set<std::string>>& names,
-                              std::optional<ResourceMap>& whole);
+                              std::optional<ResourceMap>& all_desired);
   // Truncates a response to max_response_bytes; the remaining changes are found by the next comparison.
   void LimitResponseSize(TypeState& state, SentResponse& sent) const;
   bool WaitsForClusters(ResourceType type) const;
