--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -56,10 +56,10 @@
 ControlPlane::OutgoingMessages ControlPlane::Configure(std::shared_ptr<const config::Services> services,
                                                        Millis now) {
   services_ = std::move(services);
-  std::set<std::string> strict;
+  std::set<std::string> strict_pools;
   std::map<std::string, std::unique_ptr<Pool>> pools;
   for (const config::Pool& from : services_->pools) {
-    if (from.strict_drain) strict.insert(from.id);
+    if (from.strict_drain) strict_pools.insert(from.id);
     const auto found = pools_.find(from.id);
     if (found != pools_.end() && found->second->definition == from.definition) {
       pools[from.id] = std::move(found->second);
@@ -72,12 +72,13 @@
     const gateway::HostList known = nodes_.HostsOf(found->second->registry_id);
     if (!known.hosts.empty()) ApplyHostList(from.id, *pools[from.id], known, now);
   }
+  // Only the pools that were not moved to `pools` are left in pools_.
   for (const auto& [id, pool] : pools_) {
     if (pool) nodes_.RemovePool(pool->registry_id);
     if (!pools.contains(id)) drain_requirements_.erase(id);
   }
   pools_ = std::move(pools);
-  hub_.SetStrictPools(std::move(strict));
+  hub_.SetStrictPools(std::move(strict_pools));
   groups_.clear();
   for (const config::ControlGroup& from : services_->control.groups) {
     groups_.push_back({from.id,
@@ -142,12 +143,12 @@
 
 void ControlPlane::ApplyHostList(const std::string& id, Pool& pool, const gateway::HostList& list,
                                  Millis now) {
-  gateway::HostList own = list;
-  for (gateway::Host& host : own.hosts) {
+  gateway::HostList drained_list = list;
+  for (gateway::Host& host : drained_list.hosts) {
     if (drained_.contains(host.server.id) && host.server.state == ServerState::kUp)
       host.server.state = ServerState::kDraining;
   }
-  pool.decider.UpdateMembership(own, now);
+  pool.decider.UpdateMembership(drained_list, now);
   pool.has_membership = true;
   WriteDecisionLog(id, pool);
 }
--- a/src/xds/control_server.cpp
+++ b/src/xds/control_server.cpp
@@ -32,7 +32,7 @@
   class Stream {
    public:
     virtual ~Stream() = default;
-    virtual void Send(const StreamHub::OutgoingMessage& out) = 0;
+    virtual void Send(const StreamHub::OutgoingMessage& message) = 0;
     virtual void ReadNext() = 0;
     virtual void Close(grpc::Status status) = 0;
   };
@@ -49,9 +49,9 @@
         }) {
     auto credentials = options_.credentials;
     if (!credentials) {
-      const bool loopback = options_.address.starts_with("127.") || options_.address.starts_with("[::1]") ||
-                            options_.address.starts_with("unix:");
-      if (!loopback && !options_.plaintext_anywhere)
+      const bool is_loopback = options_.address.starts_with("127.") ||
+                               options_.address.starts_with("[::1]") || options_.address.starts_with("unix:");
+      if (!is_loopback && !options_.plaintext_anywhere)
         throw std::runtime_error(
             options_.address +
             ": plaintext is allowed on loopback addresses only; configure TLS, or plaintext_anywhere");
@@ -78,8 +78,8 @@
 
  private:
   // gRPC calls the reactor's methods on its own threads; those of Stream run on the decision thread.
-  template <typename In, typename Reply, Session::Variant variant>
-  class Reactor : public grpc::ServerBidiReactor<In, Reply>, public Stream {
+  template <typename RequestMessage, typename ResponseMessage, Session::Variant variant>
+  class Reactor : public grpc::ServerBidiReactor<RequestMessage, ResponseMessage>, public Stream {
    public:
     Reactor(Impl& owner, const grpc::CallbackServerContext& context)
         : owner_(owner), id_(++owner.last_stream_id_) {
@@ -95,42 +95,42 @@
 
     void ReadNext() override {
       const std::lock_guard lock(mutex_);
-      if (!is_closed_) this->StartRead(&in_);
+      if (!is_closed_) this->StartRead(&request_);
     }
 
     void OnReadDone(bool ok) override {
       if (!ok) return owner_.loop_.Post([this](Millis) { Close(grpc::Status::OK); });
       owner_.loop_.Post([this](Millis now) {
-        const auto request = ToRequest(in_);
+        const auto request = ToRequest(request_);
         // Requests for types that this service does not serve are ignored.
-        if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToNode(in_.node()), *request, now));
+        if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToNode(request_.node()), *request, now));
         ReadNext();
       });
     }
 
-    void Send(const StreamHub::OutgoingMessage& out) override {
-      auto reply = std::make_unique<Reply>();
-      reply->set_type_url(std::string(TypeUrl(out.response.type)));
-      reply->set_nonce(out.response.nonce);
-      FillResponse(*reply, out, owner_.options_.hub.lease_duration, owner_.options_.identifier);
-      const std::size_t bytes = reply->ByteSizeLong();
+    void Send(const StreamHub::OutgoingMessage& message) override {
+      auto response = std::make_unique<ResponseMessage>();
+      response->set_type_url(std::string(TypeUrl(message.response.type)));
+      response->set_nonce(message.response.nonce);
+      FillResponse(*response, message, owner_.options_.hub.lease_duration, owner_.options_.identifier);
+      const std::size_t bytes = response->ByteSizeLong();
       std::unique_lock lock(mutex_);
       if (is_closed_) return;
-      if (replies_.size() >= owner_.options_.max_queued_messages ||
+      if (queued_responses_.size() >= owner_.options_.max_queued_messages ||
           queued_bytes_ + bytes > owner_.options_.max_queued_bytes) {
         lock.unlock();
         return Close({grpc::StatusCode::RESOURCE_EXHAUSTED, "reads too slowly"});
       }
       queued_bytes_ += bytes;
-      replies_.push_back(std::move(reply));
-      if (replies_.size() == 1) this->StartWrite(replies_.front().get());
+      queued_responses_.push_back(std::move(response));
+      if (queued_responses_.size() == 1) this->StartWrite(queued_responses_.front().get());
     }
 
     void OnWriteDone(bool ok) override {
       const std::lock_guard lock(mutex_);
-      queued_bytes_ -= std::min<std::size_t>(queued_bytes_, replies_.front()->ByteSizeLong());
-      replies_.pop_front();
-      if (ok && !is_closed_ && !replies_.empty()) this->StartWrite(replies_.front().get());
+      queued_bytes_ -= std::min<std::size_t>(queued_bytes_, queued_responses_.front()->ByteSizeLong());
+      queued_responses_.pop_front();
+      if (ok && !is_closed_ && !queued_responses_.empty()) this->StartWrite(queued_responses_.front().get());
     }
 
     void Close(grpc::Status status) override {
@@ -153,9 +153,9 @@
    private:
     Impl& owner_;
     const StreamHub::StreamId id_;
-    In in_;
+    RequestMessage request_;
     std::mutex mutex_;
-    std::deque<std::unique_ptr<Reply>> replies_;  // the first one is being written
+    std::deque<std::unique_ptr<ResponseMessage>> queued_responses_;  // the first one is being written
     std::size_t queued_bytes_ = 0;
     bool is_closed_ = false;
   };
@@ -178,14 +178,14 @@
     Impl& owner_;
   };
 
-  void Send(const std::vector<StreamHub::OutgoingMessage>& all) {
-    for (const StreamHub::OutgoingMessage& out : all) {
-      const auto found = streams_.find(out.stream);
+  void Send(const std::vector<StreamHub::OutgoingMessage>& messages) {
+    for (const StreamHub::OutgoingMessage& message : messages) {
+      const auto found = streams_.find(message.stream);
       if (found == streams_.end()) continue;
-      if (out.close_reason) {
-        found->second->Close({grpc::StatusCode::RESOURCE_EXHAUSTED, *out.close_reason});
+      if (message.close_reason) {
+        found->second->Close({grpc::StatusCode::RESOURCE_EXHAUSTED, *message.close_reason});
       } else {
-        found->second->Send(out);
+        found->second->Send(message);
       }
     }
   }
--- a/src/xds/stream_hub.cpp
+++ b/src/xds/stream_hub.cpp
@@ -161,11 +161,11 @@
 
 std::vector<StreamHub::OutgoingMessage> StreamHub::Tick(Millis now) {
   std::vector<OutgoingMessage> out;
-  std::set<std::string> due;
+  std::set<std::string> due_groups;
   for (auto& [name, group] : groups_) {
     if (!group.pending || now - group.pending_since < options_.coalescing_delay) continue;
     group.published = std::exchange(group.pending, nullptr);
-    due.insert(name);
+    due_groups.insert(name);
   }
   std::vector<StreamId> unresponsive;
   for (auto& [id, stream] : streams_) {
@@ -173,7 +173,7 @@
       unresponsive.push_back(id);
       continue;
     }
-    if (due.contains(stream.group)) SendPending(id, stream, now, out);
+    if (due_groups.contains(stream.group)) SendPending(id, stream, now, out);
     if (now - stream.last_heartbeat < options_.heartbeat_interval) continue;
     stream.last_heartbeat = now;
     OutgoingMessage heartbeat;
