--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -1,6 +1,6 @@
-// What one endpoint's change costs the control service: CPU and bytes a proxy, and what a proxy takes of
-// memory. Endpoint by endpoint (LEDS, delta), whole lists by delta, and state of the world. No sockets:
-// messages are built and serialised as they are sent, and acknowledged at once.
+// Measures the cost of one endpoint's change for the control service: CPU time and bytes per proxy, and
+// memory per proxy. With LEDS (delta), with whole ClusterLoadAssignments (delta), and with state of the
+// world. No sockets: messages are built and serialized as for sending, and acknowledged at once.
 //   xds_push [PROXIES [ROUNDS]]
 #include <malloc.h>
 #include <time.h>
@@ -13,18 +13,18 @@
 
 #include "config/services.hpp"
 #include "envoy/service/discovery/v3/discovery.pb.h"
-#include "xds/control.hpp"
-#include "xds/wire.hpp"
+#include "xds/control_plane.hpp"
+#include "xds/proto_conversion.hpp"
 
 namespace opalswitch {
 namespace {
 
 namespace discovery = envoy::service::discovery::v3;
-using xds::Control;
-using xds::Hub;
-using xds::Request;
+using xds::ControlPlane;
+using xds::ResourceType;
 using xds::Session;
-using xds::Type;
+using xds::StreamHub;
+using xds::XdsRequest;
 
 double CpuMicros() {
   timespec now;
@@ -32,7 +32,7 @@
   return static_cast<double>(now.tv_sec) * 1e6 + static_cast<double>(now.tv_nsec) / 1e3;
 }
 
-std::shared_ptr<const config::Services> Services(bool each) {
+std::shared_ptr<const config::Services> Services(bool uses_leds) {
   const auto parsed = config::ParseServices(
       std::string(
           "[[listener]]\nid = \"in\"\naddress = \"127.0.0.1:0\"\n[[class]]\nid = \"view\"\neffect = "
@@ -40,16 +40,16 @@
           "aim = \"1s\"\ndeadline = \"2s\"\n[[pool]]\nid = \"p\"\ndrain = \"strict\"\n"
           "membership = { source = \"file\", file = \"x\" }\n[[route]]\npool = \"p\"\nclass = \"view\"\n"
           "[control]\ngroup = [{ id = \"g\", each_endpoint = ") +
-          (each ? "true" : "false") + " }]\n",
+          (uses_leds ? "true" : "false") + " }]\n",
       "bench", "");
   if (!parsed.services) std::abort();
   return parsed.services;
 }
 
-struct World {
-  World(bool each, Session::Form of, int hosts, std::size_t proxies)
-      : form(of), control(hub, 1, [](const std::string&) {}) {
-    Deliver(control.Configure(Services(each), now));
+struct Simulation {
+  Simulation(bool uses_leds, Session::Variant variant_in, int hosts, std::size_t proxies)
+      : variant(variant_in), control(hub, 1, [](const std::string&) {}) {
+    Deliver(control.Configure(Services(uses_leds), now));
     gateway::HostList list;
     for (int i = 0; i < hosts; ++i) {
       gateway::Host host;
@@ -60,59 +60,61 @@
           80};
       list.hosts.push_back(host);
     }
-    Deliver(control.Told("p", list, now));
+    Deliver(control.UpdateMembership("p", list, now));
     const double before = static_cast<double>(mallinfo2().uordblks);
-    for (Hub::StreamId stream = 1; stream <= proxies; ++stream) {
-      if (!hub.Open(stream, form, now)) std::abort();
-      Request request;
-      request.type = Type::kEndpoint;
+    for (StreamHub::StreamId stream = 1; stream <= proxies; ++stream) {
+      if (!hub.OpenStream(stream, variant, now)) std::abort();
+      XdsRequest request;
+      request.type = ResourceType::kEndpoint;
       request.names = request.subscribe = {"p"};
-      Deliver(hub.Take(stream, Node(stream), request, now));
-      if (!each) continue;
-      Request members;
-      members.type = Type::kMember;
+      Deliver(hub.HandleRequest(stream, Node(stream), request, now));
+      if (!uses_leds) continue;
+      XdsRequest members;
+      members.type = ResourceType::kLbEndpoint;
       members.subscribe = {"xdstp:///envoy.config.endpoint.v3.LbEndpoint/p/zone-/*"};
-      Deliver(hub.Take(stream, Node(stream), members, now));
+      Deliver(hub.HandleRequest(stream, Node(stream), members, now));
     }
-    memory = (static_cast<double>(mallinfo2().uordblks) - before) / static_cast<double>(proxies);
+    memory_per_proxy = (static_cast<double>(mallinfo2().uordblks) - before) / static_cast<double>(proxies);
+  }
+  static xds::ProxyNode Node(StreamHub::StreamId stream) {
+    return {"proxy-" + std::to_string(stream), "", ""};
   }
-  static xds::ProxyNode Node(Hub::StreamId stream) { return {"proxy-" + std::to_string(stream), "", ""}; }
 
-  void Deliver(std::vector<Hub::Out> all) {
+  void Deliver(std::vector<StreamHub::OutgoingMessage> all) {
     while (!all.empty()) {
-      std::vector<Hub::Out> next;
-      for (const Hub::Out& out : all) {
-        if (form == Session::Form::kDelta) {
-          Serialise<discovery::DeltaDiscoveryResponse>(out);
+      std::vector<StreamHub::OutgoingMessage> next;
+      for (const StreamHub::OutgoingMessage& out : all) {
+        if (variant == Session::Variant::kDelta) {
+          Serialize<discovery::DeltaDiscoveryResponse>(out);
         } else {
-          Serialise<discovery::DiscoveryResponse>(out);
+          Serialize<discovery::DiscoveryResponse>(out);
         }
-        Request ack;
+        XdsRequest ack;
         ack.type = out.response.type;
         ack.nonce = out.response.nonce;
         ack.version = out.response.version;
-        if (ack.type == Type::kEndpoint) ack.names = {"p"};
-        if (form == Session::Form::kDelta) ack.names.clear();
-        auto more = hub.Take(out.stream, Node(out.stream), ack, now);
+        if (ack.type == ResourceType::kEndpoint) ack.names = {"p"};
+        if (variant == Session::Variant::kDelta) ack.names.clear();
+        auto more = hub.HandleRequest(out.stream, Node(out.stream), ack, now);
         next.insert(next.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
       }
       all = std::move(next);
     }
   }
   template <typename Message>
-  void Serialise(const Hub::Out& out) {
+  void Serialize(const StreamHub::OutgoingMessage& out) {
     Message message;
-    xds::Fill(message, out, 400, "bench");
+    xds::FillResponse(message, out, 400, "bench");
     std::string text;
     message.SerializeToString(&text);
     bytes += static_cast<double>(text.size());
   }
 
   Millis now = 1e6;
-  const Session::Form form;
-  Hub hub{xds::HubOptions()};
-  Control control;
-  double bytes = 0, memory = 0;
+  const Session::Variant variant;
+  StreamHub hub{xds::StreamHubOptions()};
+  ControlPlane control;
+  double bytes = 0, memory_per_proxy = 0;
 };
 
 double Median(std::vector<double> values) {
@@ -129,12 +131,12 @@
   const int rounds = argc > 2 ? std::atoi(argv[2]) : 9;
   struct Kind {
     const char* name;
-    bool each;
-    Session::Form form;
+    bool uses_leds;
+    Session::Variant variant;
   };
-  const Kind kinds[] = {{"LEDS, delta", true, Session::Form::kDelta},
-                        {"lists, delta", false, Session::Form::kDelta},
-                        {"lists, SotW", false, Session::Form::kStateOfTheWorld}};
+  const Kind kinds[] = {{"LEDS, delta", true, Session::Variant::kDelta},
+                        {"lists, delta", false, Session::Variant::kDelta},
+                        {"lists, SotW", false, Session::Variant::kStateOfTheWorld}};
   std::printf(
       "one endpoint drains, %zu proxies; median of %d rounds (least to most). Once: deciding and building; "
       "then a "
@@ -142,27 +144,29 @@
       proxies, rounds);
   for (const Kind& kind : kinds) {
     for (const int hosts : {10, 1000, 10000}) {
-      World world(kind.each, kind.form, hosts, proxies);
-      std::vector<double> once, each, bytes;
+      Simulation simulation(kind.uses_leds, kind.variant, hosts, proxies);
+      std::vector<double> decision_us, per_proxy_us, bytes_per_proxy;
       for (int i = 0; i < rounds; ++i) {
         const std::string node = "node-" + std::to_string(i);
-        world.bytes = 0;
-        const double begun = CpuMicros();
-        auto out = world.control.Drain(node, world.now);
-        const double decided = CpuMicros();
-        world.Deliver(std::move(out));
-        const double done = CpuMicros();
-        if (!world.control.WaitingFor(node, world.now).empty()) std::abort();
-        once.push_back(decided - begun);
-        each.push_back((done - decided) / static_cast<double>(proxies));
-        bytes.push_back(world.bytes / static_cast<double>(proxies));
+        simulation.bytes = 0;
+        const double started_us = CpuMicros();
+        auto messages = simulation.control.Drain(node, simulation.now);
+        const double decided_us = CpuMicros();
+        simulation.Deliver(std::move(messages));
+        const double done_us = CpuMicros();
+        if (!simulation.control.PendingProxies(node, simulation.now).empty()) std::abort();
+        decision_us.push_back(decided_us - started_us);
+        per_proxy_us.push_back((done_us - decided_us) / static_cast<double>(proxies));
+        bytes_per_proxy.push_back(simulation.bytes / static_cast<double>(proxies));
       }
       std::printf(
           "%-13s %6d endpoints: once %8.0f us, a proxy %8.1f us (%.1f to %.1f) and %9.0f bytes; %8.0f bytes "
           "of "
           "memory a proxy\n",
-          kind.name, hosts, Median(once), Median(each), *std::min_element(each.begin(), each.end()),
-          *std::max_element(each.begin(), each.end()), Median(bytes), world.memory);
+          kind.name, hosts, Median(decision_us), Median(per_proxy_us),
+          *std::min_element(per_proxy_us.begin(), per_proxy_us.end()),
+          *std::max_element(per_proxy_us.begin(), per_proxy_us.end()), Median(bytes_per_proxy),
+          simulation.memory_per_proxy);
       std::fflush(stdout);
     }
   }
--- a/src/xds/decision_loop.hpp
+++ b/src/xds/decision_loop.hpp
@@ -1,5 +1,5 @@
-// The one thread that decides. gRPC calls from threads of its own; whatever they bring is put on one queue
-// and done here, one after the other.
+// The decision thread. gRPC uses threads of its own; their events are queued here and processed one after the
+// other.
 #ifndef OPALSWITCH_XDS_DECISION_LOOP_HPP_
 #define OPALSWITCH_XDS_DECISION_LOOP_HPP_
 
@@ -15,16 +15,17 @@
 
 class DecisionLoop {
  public:
-  // `tick` is called on the loop's thread every 10 ms or so.
+  // `tick` is called on the loop's thread about every 10 ms.
   explicit DecisionLoop(std::function<void(Millis now)> tick);
-  // Does what is queued, and ends.
+  // Processes the queued work and stops the thread.
   ~DecisionLoop();
   DecisionLoop(const DecisionLoop&) = delete;
   DecisionLoop& operator=(const DecisionLoop&) = delete;
 
+  // Queues `work`. Thread-safe.
   void Post(std::function<void(Millis now)> work);
-  // The same, and waits until it is done. Not from the loop's own thread.
-  void Do(const std::function<void(Millis now)>& work);
+  // Queues `work` and waits until it is done. Must not be called on the loop's thread.
+  void RunAndWait(const std::function<void(Millis now)>& work);
 
  private:
   void Run();
@@ -33,7 +34,7 @@
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<std::function<void(Millis)>> queue_;
-  bool ending_ = false;
+  bool is_stopping_ = false;
   std::thread thread_;
 };
 
--- a/tests/xds_grpc_client_test.cpp
+++ b/tests/xds_grpc_client_test.cpp
@@ -1,5 +1,5 @@
-// A proxy that we did not write: gRPC C++'s own xDS client (xds:///) finds stand-in servers through what the
-// control service tells, follows their weights, and leaves one that drains.
+// Test with an independent xDS client: gRPC C++'s own (xds:///) finds stand-in servers through the control
+// service, follows their weights and stops using one that drains.
 #include <grpcpp/generic/async_generic_service.h>
 #include <grpcpp/generic/generic_stub.h>
 #include <grpcpp/grpcpp.h>
@@ -8,25 +8,25 @@
 #include <cstdlib>
 
 #include "config/services.hpp"
+#include "xds/control_server.hpp"
 #include "xds/resources.hpp"
-#include "xds/server.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-using xds::Hub;
-using xds::Standing;
+using xds::EndpointHealth;
+using xds::StreamHub;
 
 // A server that answers every call with its name.
-class Named : public grpc::CallbackGenericService {
+class NamedServer : public grpc::CallbackGenericService {
  public:
-  explicit Named(std::string name) : name_(std::move(name)) {
+  explicit NamedServer(std::string name) : name_(std::move(name)) {
     grpc::ServerBuilder builder;
     builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &port_);
     builder.RegisterCallbackGenericService(this);
     server_ = builder.BuildAndStart();
   }
-  ~Named() override { server_->Shutdown(std::chrono::system_clock::now()); }
+  ~NamedServer() override { server_->Shutdown(std::chrono::system_clock::now()); }
   int port() const { return port_; }
 
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext*) override {
@@ -52,8 +52,8 @@
   std::unique_ptr<grpc::Server> server_;
 };
 
-// Who answers one call; empty if it failed.
-std::string Ask(const std::shared_ptr<grpc::Channel>& channel) {
+// Returns the name of the server that answers one call; empty if the call fails.
+std::string Call(const std::shared_ptr<grpc::Channel>& channel) {
   grpc::GenericStub stub(channel);
   grpc::ClientContext context;
   context.set_wait_for_ready(true);
@@ -67,8 +67,8 @@
   grpc::Status status;
   call->Finish(&reply, &status, &queue);
   void* tag = nullptr;
-  bool good = false;
-  queue.Next(&tag, &good);
+  bool ok = false;
+  queue.Next(&tag, &ok);
   queue.Shutdown();
   std::vector<grpc::Slice> slices;
   if (!status.ok() || !reply.Dump(&slices).ok()) return "";
@@ -86,21 +86,21 @@
       "[[route]]\npool = \"one\"\nclass = \"view\"\n",
       "f", "");
   ASSERT_TRUE(parsed.services);
-  Named a("a"), b("b");
-  xds::Server control{xds::ServerOptions()};
-  const auto publish = [&](Standing standing_of_a) {
-    const xds::Assignments nodes = {
+  NamedServer a("a"), b("b");
+  xds::ControlServer control{xds::ControlServerOptions()};
+  const auto publish = [&](EndpointHealth health_of_a) {
+    const xds::EndpointAssignments nodes = {
         {"one",
-         {{"a", "", "127.0.0.1", static_cast<std::uint16_t>(a.port()), 300, standing_of_a},
-          {"b", "", "127.0.0.1", static_cast<std::uint16_t>(b.port()), 100, Standing::kUp}}}};
+         {{"a", "", "127.0.0.1", static_cast<std::uint16_t>(a.port()), 300, health_of_a},
+          {"b", "", "127.0.0.1", static_cast<std::uint16_t>(b.port()), 100, EndpointHealth::kHealthy}}}};
     xds::ResourceOptions options;
-    options.grpc_clients = true;
-    options.load_reports = false;
-    control.With([&](Hub& hub, Millis now) {
+    options.for_grpc_clients = true;
+    options.requests_load_reports = false;
+    control.RunOnDecisionThread([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*parsed.services, nodes, options), true, now);
     });
   };
-  publish(Standing::kUp);
+  publish(EndpointHealth::kHealthy);
   const std::string bootstrap =
       "{\"xds_servers\":[{\"server_uri\":\"127.0.0.1:" + std::to_string(control.port()) +
       "\",\"channel_creds\":[{\"type\":\"insecure\"}],\"server_features\":[\"xds_v3\"]}],"
@@ -109,20 +109,21 @@
   const auto channel = grpc::CreateChannel("xds:///baskets", grpc::InsecureChannelCredentials());
   int from_a = 0, from_b = 0;
   for (int i = 0; i < 400; ++i) {
-    const std::string who = Ask(channel);
-    from_a += who == "a";
-    from_b += who == "b";
+    const std::string server = Call(channel);
+    from_a += server == "a";
+    from_b += server == "b";
   }
   EXPECT_EQ(from_a + from_b, 400);
-  // Three to one; a ring of hashes and 400 draws leave some play.
+  // Weights are three to one; the hash ring and 400 random picks deviate from that somewhat.
   EXPECT_GT(from_a, 220);
   EXPECT_GT(from_b, 40);
-  publish(Standing::kDraining);
-  // Told is not yet followed; that shows by itself soon, and then for good.
-  int in_a_row = 0;
-  for (int i = 0; i < 20000 && in_a_row < 60; ++i) in_a_row = Ask(channel) == "b" ? in_a_row + 1 : 0;
-  ASSERT_EQ(in_a_row, 60);
-  for (int i = 0; i < 200; ++i) ASSERT_EQ(Ask(channel), "b");
+  publish(EndpointHealth::kDraining);
+  // The client applies the drain with some delay, and then permanently.
+  int consecutive_from_b = 0;
+  for (int i = 0; i < 20000 && consecutive_from_b < 60; ++i)
+    consecutive_from_b = Call(channel) == "b" ? consecutive_from_b + 1 : 0;
+  ASSERT_EQ(consecutive_from_b, 60);
+  for (int i = 0; i < 200; ++i) ASSERT_EQ(Call(channel), "b");
 }
 
 }  // namespace
