--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -23,102 +23,108 @@
 namespace opalswitch::testing {
 namespace {
 
-constexpr std::size_t kCallers = 64;  // a pool's, each with a connection
-constexpr double kRate = 800;         // requests a second into each healthy pool
-constexpr int kSeconds = 4;
-constexpr std::size_t kBrokenCallers = 200;
+constexpr std::size_t kConnectionsPerPool = 64;  // a pool's, each with a connection
+constexpr double kRequestsPerSecond = 800;       // requests a second into each healthy pool
+constexpr int kDurationSeconds = 4;
+constexpr std::size_t kBrokenPoolClients = 200;
 constexpr std::chrono::milliseconds kServiceTime(5);
 
 // Requests at a fixed rate, each sent at its time; its latency counts from that time.
-class Steady {
+class SteadyLoad {
  public:
-  Steady(asio::io_context& io, const tcp::endpoint& at, std::string request, double rate, std::size_t total)
-      : io_(io), at_(at), request_(std::move(request)), gap_(1 / rate), total_(total), timer_(io) {
-    for (std::size_t i = 0; i < kCallers; ++i) {
-      idle_.push_back(std::make_shared<Line>(io_));
+  SteadyLoad(asio::io_context& io, const tcp::endpoint& at, std::string request, double rate,
+             std::size_t total)
+      : io_(io), at_(at), request_(std::move(request)), interval_s_(1 / rate), total_(total), timer_(io) {
+    for (std::size_t i = 0; i < kConnectionsPerPool; ++i) {
+      idle_.push_back(std::make_shared<Connection>(io_));
       idle_.back()->socket.connect(at_);
       idle_.back()->socket.set_option(tcp::no_delay(true));
     }
-    begun_ = Clock::now();
-    Tick();
+    start_ = Clock::now();
+    ScheduleNext();
   }
-  bool Done() const { return answered_ + lost_ == total_; }
-  double Share() const { return static_cast<double>(times.size()) / static_cast<double>(total_); }
-  double Quantile(double part) {
-    if (times.empty()) return NAN;
-    std::sort(times.begin(), times.end());
-    return times[static_cast<std::size_t>(part * static_cast<double>(times.size() - 1))];
+  bool IsDone() const { return answered_ + lost_ == total_; }
+  double ServedFraction() const {
+    return static_cast<double>(latencies_ms.size()) / static_cast<double>(total_);
   }
-  std::vector<double> times;
+  double Quantile(double fraction) {
+    if (latencies_ms.empty()) return NAN;
+    std::sort(latencies_ms.begin(), latencies_ms.end());
+    return latencies_ms[static_cast<std::size_t>(fraction * static_cast<double>(latencies_ms.size() - 1))];
+  }
+  std::vector<double> latencies_ms;
 
  private:
   using Clock = std::chrono::steady_clock;
-  struct Line {
-    explicit Line(asio::io_context& io) : socket(io) {}
+  struct Connection {
+    explicit Connection(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::optional<http::response_parser<http::string_body>> parser;
   };
 
-  Clock::time_point TimeOf(std::size_t i) const {
-    return begun_ + std::chrono::duration_cast<Clock::duration>(
-                        std::chrono::duration<double>(gap_ * static_cast<double>(i)));
+  Clock::time_point ScheduledTime(std::size_t i) const {
+    return start_ + std::chrono::duration_cast<Clock::duration>(
+                        std::chrono::duration<double>(interval_s_ * static_cast<double>(i)));
   }
-  void Tick() {
+  void ScheduleNext() {
     if (sent_ == total_) return;
-    timer_.expires_at(TimeOf(sent_));
+    timer_.expires_at(ScheduledTime(sent_));
     timer_.async_wait([this](error_code ec) {
       if (ec) return;
-      while (sent_ < total_ && TimeOf(sent_) <= Clock::now()) Ask(TimeOf(sent_++));
-      Tick();
+      while (sent_ < total_ && ScheduledTime(sent_) <= Clock::now()) Send(ScheduledTime(sent_++));
+      ScheduleNext();
     });
   }
-  void Ask(Clock::time_point due) {
+  void Send(Clock::time_point due) {
     if (idle_.empty()) {  // more are out than there are connections
       ++lost_;
       return;
     }
-    const auto line = idle_.back();
+    const auto connection = idle_.back();
     idle_.pop_back();
-    asio::async_write(line->socket, asio::buffer(request_), [this, line, due](error_code ec, std::size_t) {
-      if (ec) return Lost(line);
-      line->parser.emplace();
-      http::async_read(
-          line->socket, line->buffer, *line->parser, [this, line, due](error_code read_ec, std::size_t) {
-            if (read_ec) return Lost(line);
-            ++answered_;
-            if (line->parser->get().result_int() == 200) {
-              times.push_back(std::chrono::duration<double, std::milli>(Clock::now() - due).count());
-            }
-            line->parser->get().keep_alive() ? idle_.push_back(line) : Renew(line);
-          });
-    });
+    asio::async_write(
+        connection->socket, asio::buffer(request_), [this, connection, due](error_code ec, std::size_t) {
+          if (ec) return RecordLost(connection);
+          connection->parser.emplace();
+          http::async_read(connection->socket, connection->buffer, *connection->parser,
+                           [this, connection, due](error_code read_ec, std::size_t) {
+                             if (read_ec) return RecordLost(connection);
+                             ++answered_;
+                             if (connection->parser->get().result_int() == 200) {
+                               latencies_ms.push_back(
+                                   std::chrono::duration<double, std::milli>(Clock::now() - due).count());
+                             }
+                             connection->parser->get().keep_alive() ? idle_.push_back(connection)
+                                                                    : Reconnect(connection);
+                           });
+        });
   }
-  void Lost(const std::shared_ptr<Line>& line) {
+  void RecordLost(const std::shared_ptr<Connection>& connection) {
     ++lost_;
-    Renew(line);
+    Reconnect(connection);
   }
-  void Renew(const std::shared_ptr<Line>& line) {
-    line->socket = tcp::socket(io_);
-    line->buffer.consume(line->buffer.size());
-    line->socket.async_connect(at_, [this, line](error_code ec) {
-      if (!ec) idle_.push_back(line);
+  void Reconnect(const std::shared_ptr<Connection>& connection) {
+    connection->socket = tcp::socket(io_);
+    connection->buffer.consume(connection->buffer.size());
+    connection->socket.async_connect(at_, [this, connection](error_code ec) {
+      if (!ec) idle_.push_back(connection);
     });
   }
 
   asio::io_context& io_;
   const tcp::endpoint at_;
   const std::string request_;
-  const double gap_;
+  const double interval_s_;
   const std::size_t total_;
   asio::steady_timer timer_;
-  Clock::time_point begun_;
-  std::vector<std::shared_ptr<Line>> idle_;
+  Clock::time_point start_;
+  std::vector<std::shared_ptr<Connection>> idle_;
   std::size_t sent_ = 0, answered_ = 0, lost_ = 0;
 };
 
 // Has the peer answer with its name, after `time`.
-void Serve(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
+void SetResponses(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
   if (time.count() == 0) return Behave(peer, Broken::kNot, name);
   peer.serve = [&peer, time, name](const Peer::Taken& taken) {
     const auto timer = std::make_shared<asio::steady_timer>(taken.on->socket.get_executor(), time);
@@ -126,11 +132,11 @@
   };
 }
 
-struct Figures {
-  double share = 0, p50 = 0, p99 = 0;
+struct Measurements {
+  double served_fraction = 0, p50_ms = 0, p99_ms = 0;
 };
 
-std::string Pool(const std::string& id, const tcp::endpoint& host) {
+std::string PoolText(const std::string& id, const tcp::endpoint& host) {
   return "[[pool]]\nid = \"" + id + "\"\nhost = [{ address = \"" + ToText(host) +
          "\" }]\n[[route]]\nprefix = \"/" + id + "\"\npool = \"" + id + "\"\nclass = \"view\"\n";
 }
@@ -170,63 +176,67 @@
 
 // What two gateways that run at the same time give to the same load: one with the broken pool beside the two
 // healthy ones, one without.
-struct Pair {
-  Figures alone, beside;
+struct Comparison {
+  Measurements alone, beside;
 };
 
-Pair Play(Broken how, std::chrono::milliseconds time) {
-  const Child hosts([time](const auto& tell) {
+Comparison MeasurePair(Broken how, std::chrono::milliseconds time) {
+  const Child hosts([time](const auto& report_ports) {
     asio::io_context io(1);
     Peer one(io), two(io);
     one.keep = two.keep = false;
-    Serve(one, time, "one");
-    Serve(two, time, "two");
-    tell({one.address().port(), two.address().port()});
+    SetResponses(one, time, "one");
+    SetResponses(two, time, "two");
+    report_ports({one.address().port(), two.address().port()});
     io.run();
   });
   // Apart: what it does to its own machine is not the gateway's doing.
-  const Child broken([how](const auto& tell) {
+  const Child broken([how](const auto& report_ports) {
     asio::io_context io(1);
     Peer three(io);
     three.keep = false;
     const unsigned short port = three.address().port();
     Behave(three, how, "three");
-    tell({port});
+    report_ports({port});
     const auto work = asio::make_work_guard(io);  // also where it refuses connections
     io.run();
   });
-  const auto run_gateway = [&](const auto& tell) {
+  const auto run_gateway = [&](const auto& report_ports) {
     const std::string text =
         "[process]\ndescriptors = 1000\n[[listener]]\nid = \"in\"\naddress = \"127.0.0.1:0\"\n[[class]]\nid "
         "= \"view\"\n"
         "effect = \"safe\"\naim = \"1s\"\ndeadline = \"2s\"\n" +
-        Pool("one", Loopback(hosts.ports[0])) + Pool("two", Loopback(hosts.ports[1])) +
-        Pool("three", Loopback(broken.ports[0]));
+        PoolText("one", Loopback(hosts.ports[0])) + PoolText("two", Loopback(hosts.ports[1])) +
+        PoolText("three", Loopback(broken.ports[0]));
     const auto parsed = config::ParseServices(text, "bench", "");
     if (!parsed.services) _exit(1);
     if (std::freopen("/dev/null", "w", stderr) == nullptr) _exit(1);
     asio::io_context io(1);
     gateway::ServiceGateway gateway(io, parsed.services, 1);
-    tell({gateway.address("in").port()});
+    report_ports({gateway.address("in").port()});
     io.run();
   };
   const Child with(run_gateway), without(run_gateway);
   const tcp::endpoint at = Loopback(with.ports.at(0)), at_other = Loopback(without.ports.at(0));
   const auto get = [](const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"; };
-  const Child clients([&](const auto& tell) {
+  const Child clients([&](const auto& report_ports) {
     asio::io_context io(1);
-    Load third(io, at, kBrokenCallers, 100000000, [&](std::size_t) { return get("/three"); });
-    tell({});
+    Load third(io, at, kBrokenPoolClients, 100000000, [&](std::size_t) { return get("/three"); });
+    report_ports({});
     io.run();
   });
   asio::io_context io(1);
-  const auto total = static_cast<std::size_t>(kRate * kSeconds);
-  Steady a(io, at, get("/one"), kRate, total), b(io, at, get("/two"), kRate, total);
-  Steady c(io, at_other, get("/one"), kRate, total), d(io, at_other, get("/two"), kRate, total);
-  while (!a.Done() || !b.Done() || !c.Done() || !d.Done()) io.run_one_for(std::chrono::milliseconds(100));
-  const auto worse = [](Steady& x, Steady& y) {
-    return Figures{std::min(x.Share(), y.Share()), std::max(x.Quantile(0.5), y.Quantile(0.5)),
-                   std::max(x.Quantile(0.99), y.Quantile(0.99))};
+  const auto total = static_cast<std::size_t>(kRequestsPerSecond * kDurationSeconds);
+  SteadyLoad a(io, at, get("/one"), kRequestsPerSecond, total),
+      b(io, at, get("/two"), kRequestsPerSecond, total);
+  SteadyLoad c(io, at_other, get("/one"), kRequestsPerSecond, total),
+      d(io, at_other, get("/two"), kRequestsPerSecond, total);
+  while (!a.IsDone() || !b.IsDone() || !c.IsDone() || !d.IsDone())
+    io.run_one_for(std::chrono::milliseconds(100));
+  const auto worse = [](SteadyLoad& x, SteadyLoad& y) {
+    return Measurements{std::min(x.ServedFraction(), y.ServedFraction()),
+                        std::max(x.Quantile(0.5), y.Quantile(0.5)),
+                        std::max(x.Quantile(0.99), y.Quantile(0.99))};
   };
   return {worse(c, d), worse(a, b)};
 }
@@ -237,8 +247,8 @@
 }
 
 std::pair<double, double> Range(const std::vector<double>& values) {
-  const auto [least, most] = std::minmax_element(values.begin(), values.end());
-  return {*least, *most};
+  const auto [min, max] = std::minmax_element(values.begin(), values.end());
+  return {*min, *max};
 }
 
 }  // namespace
@@ -256,24 +266,24 @@
       "pause;\n"
       "worse of the two pools, median of %d rounds (least to most); the gateway alone runs at the same "
       "time\n",
-      kRate, kSeconds, kBrokenCallers, rounds);
+      kRequestsPerSecond, kDurationSeconds, kBrokenPoolClients, rounds);
   for (const std::chrono::milliseconds time : {std::chrono::milliseconds(0), kServiceTime}) {
     for (const auto& [kind, name] : kinds) {
       if (argc > 2 && std::string(argv[2]) != "all" && std::string(argv[2]) != name) continue;
       std::vector<double> ratio, alone99, beside99, lost;
       for (int i = 0; i < rounds; ++i) {
-        const auto [alone, beside] = Play(kind, time);
-        alone99.push_back(alone.p99);
-        beside99.push_back(beside.p99);
-        ratio.push_back(beside.p99 / alone.p99 - 1);
-        lost.push_back(100 * (alone.share - beside.share));
+        const auto [alone, beside] = MeasurePair(kind, time);
+        alone99.push_back(alone.p99_ms);
+        beside99.push_back(beside.p99_ms);
+        ratio.push_back(beside.p99_ms / alone.p99_ms - 1);
+        lost.push_back(100 * (alone.served_fraction - beside.served_fraction));
       }
       const auto [low, high] = Range(ratio);
-      const auto [least, most] = Range(lost);
+      const auto [min, max] = Range(lost);
       std::printf("%ld ms %-8s p99 %.2f ms alone, %.2f ms beside: %+.0f%% (%+.0f%% to %+.0f%%); ",
                   static_cast<long>(time.count()), name, Median(alone99), Median(beside99),
                   100 * Median(ratio), 100 * low, 100 * high);
-      std::printf("served share lost %.2f points (%.2f to %.2f)\n", Median(lost), least, most);
+      std::printf("served share lost %.2f points (%.2f to %.2f)\n", Median(lost), min, max);
       std::fflush(stdout);
     }
   }
--- a/examples/standin.cpp
+++ b/examples/standin.cpp
@@ -15,13 +15,13 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-tcp::endpoint At(const std::string& text) {
+tcp::endpoint ParseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   return {asio::ip::make_address(text.substr(0, colon)),
           static_cast<unsigned short>(std::stoi(text.substr(colon + 1)))};
 }
 
-asio::awaitable<void> Serve(tcp::socket socket, std::string name) {
+asio::awaitable<void> ServeConnection(tcp::socket socket, std::string name) {
   boost::beast::flat_buffer buffer;
   for (;;) {
     http::request<http::string_body> request;
@@ -41,19 +41,19 @@
   }
 }
 
-asio::awaitable<void> Listen(asio::io_context& io, std::string name, tcp::endpoint at) {
-  tcp::acceptor acceptor(io, at);
+asio::awaitable<void> Listen(asio::io_context& io, std::string name, tcp::endpoint endpoint) {
+  tcp::acceptor acceptor(io, endpoint);
   for (;;) {
     tcp::socket socket = co_await acceptor.async_accept(asio::use_awaitable);
-    asio::co_spawn(io, Serve(std::move(socket), name), asio::detached);
+    asio::co_spawn(io, ServeConnection(std::move(socket), name), asio::detached);
   }
 }
 
-int Ask(const tcp::endpoint& at, const std::string& method, const std::string& host, const std::string& path,
-        const std::string& body) {
+int SendRequest(const tcp::endpoint& endpoint, const std::string& method, const std::string& host,
+                const std::string& path, const std::string& body) {
   asio::io_context io;
   tcp::socket socket(io);
-  socket.connect(at);
+  socket.connect(endpoint);
   http::request<http::string_body> request;
   request.method_string(method);
   request.target(path);
@@ -64,12 +64,12 @@
   request.prepare_payload();
   http::write(socket, request);
   boost::beast::flat_buffer buffer;
-  http::response_parser<http::string_body> answer;
-  answer.skip(method == "HEAD");
+  http::response_parser<http::string_body> response;
+  response.skip(method == "HEAD");
   http::read(socket, buffer, answer);
-  std::string text = answer.get().body();
+  std::string text = response.get().body();
   while (!text.empty() && text.back() == '\n') text.pop_back();
-  std::printf("%u  %s\n", answer.get().result_int(), text.c_str());
+  std::printf("%u  %s\n", response.get().result_int(), text.c_str());
   return 0;
 }
 
@@ -77,19 +77,19 @@
 
 int main(int argc, char** argv) {
   try {
-    const std::string what = argc > 1 ? argv[1] : "";
-    if (what == "ask" && argc >= 6)
-      return Ask(At(argv[2]), argv[3], argv[4], argv[5], argc > 6 ? argv[6] : "");
-    if (what != "serve" || argc < 4 || argc % 2 != 0) {
+    const std::string command = argc > 1 ? argv[1] : "";
+    if (command == "ask" && argc >= 6)
+      return SendRequest(ParseEndpoint(argv[2]), argv[3], argv[4], argv[5], argc > 6 ? argv[6] : "");
+    if (command != "serve" || argc < 4 || argc % 2 != 0) {
       std::fprintf(stderr,
                    "usage: standin serve NAME ADDRESS:PORT ... | ask ADDRESS:PORT METHOD HOST PATH [BODY]\n");
       return 2;
     }
     asio::io_context io(1);
-    asio::signal_set ends(io, SIGTERM, SIGINT);
-    ends.async_wait([&](auto, int) { io.stop(); });
+    asio::signal_set stop_signals(io, SIGTERM, SIGINT);
+    stop_signals.async_wait([&](auto, int) { io.stop(); });
     for (int i = 2; i + 1 < argc; i += 2) {
-      asio::co_spawn(io, Listen(io, argv[i], At(argv[i + 1])), [](std::exception_ptr failed) {
+      asio::co_spawn(io, Listen(io, argv[i], ParseEndpoint(argv[i + 1])), [](std::exception_ptr failed) {
         if (failed) std::rethrow_exception(failed);
       });
     }
--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -32,23 +32,23 @@
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
-enum Exit { kDone = 0, kFailed = 1, kUsage = 2, kNoRoute = 3 };
+enum ExitCode { kDone = 0, kFailed = 1, kUsage = 2, kNoRoute = 3 };
 
-const char* Variable(const char* name) { return std::getenv(name); }
+const char* GetEnvironment(const char* name) { return std::getenv(name); }
 
 // The environment still tells where discovery was at the start: a changed file knows better.
-const char* VariableAtReload(const char* name) {
-  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : Variable(name);
+const char* GetEnvironmentAtReload(const char* name) {
+  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : GetEnvironment(name);
 }
 
 int RunPlatform() {
   asio::io_context io(1);
-  gw::Gateway gateway(io, gw::LoadConfig(Variable));
+  gw::Gateway gateway(io, gw::LoadConfig(GetEnvironment));
   RunLoop(
       io, [&](auto done) { gateway.Stop(std::move(done)); },
       [&] {
         try {
-          gateway.Reload(gw::LoadConfig(VariableAtReload));
+          gateway.Reload(gw::LoadConfig(GetEnvironmentAtReload));
         } catch (const std::exception& error) {
           std::fprintf(stderr, "forkwick: configuration not reloaded: %s\n", error.what());
         }
@@ -63,7 +63,7 @@
   gw::ServiceGateway gateway(io, first.services, RandomSeed());
   std::unique_ptr<gw::FileWatch> watch;
   std::function<void()> reload;
-  const auto follow = [&](const config::Services& services) {
+  const auto update_watcher = [&](const config::Services& services) {
     if (services.watches_file == (watch != nullptr)) return;
     watch = services.watches_file ? std::make_unique<gw::FileWatch>(io, path, [&] { reload(); }) : nullptr;
   };
@@ -79,9 +79,9 @@
     }
     std::fprintf(stderr, "forkwick: reloaded %s\n", path.c_str());
     // The watch may be what called this: it is changed from the loop.
-    asio::post(io, [&, services = next.services] { follow(*services); });
+    asio::post(io, [&, services = next.services] { update_watcher(*services); });
   };
-  follow(*first.services);
+  update_watcher(*first.services);
   for (const config::Listener& listener : first.services->listeners) {
     const auto at = gateway.address(listener.id);
     std::fprintf(stderr, "forkwick: listener %s at %s:%u\n", listener.id.c_str(),
@@ -92,7 +92,7 @@
   return kDone;
 }
 
-int Check(const std::string& path, bool json) {
+int CheckFile(const std::string& path, bool json) {
   const auto parsed = config::LoadServices(path);
   if (json) {
     nlohmann::json out = {
@@ -116,22 +116,22 @@
   return parsed.services ? kDone : kFailed;
 }
 
-struct Asked {
+struct RouteQuery {
   std::string host, path = "/", method = "GET", class_name, listener;
   std::vector<std::string> headers;
 };
 
-int Explain(const std::string& file, const Asked& asked) {
+int ExplainRoute(const std::string& file, const RouteQuery& query) {
   const auto parsed = config::LoadServices(file);
   if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
   const config::Services& services = *parsed.services;
   std::string error;
-  const auto target = routing::ParseTarget(asked.method, asked.path, error);
+  const auto target = routing::ParseTarget(query.method, query.path, error);
   if (!target) return std::fprintf(stderr, "--path: %s\n", error.c_str()), kUsage;
-  const auto authority = routing::ParseAuthority(asked.host, error);
+  const auto authority = routing::ParseAuthority(query.host, error);
   if (!authority) return std::fprintf(stderr, "--host: %s\n", error.c_str()), kUsage;
-  routing::Request request{authority->host, target->path, asked.method, asked.class_name, asked.listener};
-  for (const std::string& header : asked.headers) {
+  routing::Request request{authority->host, target->path, query.method, query.class_name, query.listener};
+  for (const std::string& header : query.headers) {
     const std::size_t colon = header.find(':');
     if (colon == std::string::npos)
       return std::fprintf(stderr, "--header: found '%s', expected 'Name: value'\n", header.c_str()), kUsage;
@@ -146,9 +146,9 @@
     std::printf("  not %s: %s\n", services.routes[i].match.id.c_str(), reasons[i].c_str());
   }
   for (const std::string& reading : routing::AlternativeReadings(target->path)) {
-    routing::Request other = request;
-    other.path = reading;
-    if (services.table.Match(other) == match) continue;
+    routing::Request alternative = request;
+    alternative.path = reading;
+    if (services.table.Match(alternative) == match) continue;
     std::printf("refused with 400: a host may take the path for %s, which goes elsewhere\n", reading.c_str());
     return kNoRoute;
   }
@@ -171,7 +171,7 @@
   app.require_subcommand(1);
   std::string file;
   bool json = false;
-  Asked asked;
+  RouteQuery query;
   auto* const run = app.add_subcommand("run", "run the services of a file until SIGTERM; SIGHUP reloads it");
   run->add_option("--config", file, "the operators' file")->required();
   auto* const check =
@@ -181,20 +181,20 @@
   auto* const route = app.add_subcommand(
       "route", "tell which route a request takes, and why the earlier ones do not: exit code 3 if none does");
   route->add_option("file", file, "the operators' file")->required();
-  route->add_option("--host", asked.host, "its Host");
-  route->add_option("--path", asked.path, "its path, or its whole target");
-  route->add_option("--method", asked.method, "its method");
-  route->add_option("--class", asked.class_name, "the class that it states");
-  route->add_option("--listener", asked.listener, "the listener that it comes in by");
-  route->add_option("--header", asked.headers, "a header of it, as 'Name: value'; may be repeated");
+  route->add_option("--host", query.host, "its Host");
+  route->add_option("--path", query.path, "its path, or its whole target");
+  route->add_option("--method", query.method, "its method");
+  route->add_option("--class", query.class_name, "the class that it states");
+  route->add_option("--listener", query.listener, "the listener that it comes in by");
+  route->add_option("--header", query.headers, "a header of it, as 'Name: value'; may be repeated");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kDone : kUsage;
   }
   if (run->parsed()) return RunServices(file);
-  if (check->parsed()) return Check(file, json);
-  return Explain(file, asked);
+  if (check->parsed()) return CheckFile(file, json);
+  return ExplainRoute(file, query);
 }
 
 }  // namespace
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -32,11 +32,11 @@
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
-enum Exit { kDone = 0, kFailed = 1, kUsage = 2 };
+enum ExitCode { kDone = 0, kFailed = 1, kUsage = 2 };
 
-void Say(const std::string& text) { std::fprintf(stderr, "forkwick-control: %s\n", text.c_str()); }
+void LogLine(const std::string& text) { std::fprintf(stderr, "forkwick-control: %s\n", text.c_str()); }
 
-xds::ServerOptions OptionsOf(const config::ControlSettings& control) {
+xds::ServerOptions MakeServerOptions(const config::ControlSettings& control) {
   xds::ServerOptions options;
   options.address = control.address;
   if (control.tls) {
@@ -44,21 +44,21 @@
     options.client_names = control.tls->client_names;
   }
   options.plaintext_anywhere = control.plaintext_anywhere;
-  options.hub.proxies = control.proxies;
-  options.hub.coalesce = control.coalesce;
+  options.hub.proxies = control.max_proxies;
+  options.hub.coalesce = control.coalesce_delay;
   options.hub.lease = control.lease;
   options.hub.heartbeat = control.heartbeat;
   options.begun = gw::Now();
-  options.report_every = control.report_every;
+  options.report_every = control.load_report_interval;
   return options;
 }
 
 // What runs: the service, and the sources of its pools' hosts.
-class Running {
+class ControlService {
  public:
-  Running(asio::io_context& io, std::shared_ptr<const config::Services> services)
-      : io_(io), drains_(services->control.drains) {
-    auto options = OptionsOf(services->control);
+  ControlService(asio::io_context& io, std::shared_ptr<const config::Services> services)
+      : io_(io), drains_(services->control.drains_file) {
+    auto options = MakeServerOptions(services->control);
     options.tick = [this](xds::Hub&, Millis now) {
       return control_ ? control_->Tick(now) : xds::Control::Outs();
     };
@@ -69,36 +69,36 @@
     const auto drained = drains_.Read();  // before anybody is told anything
     server_ = std::make_unique<xds::Server>(std::move(options));
     server_->With([&](xds::Hub& hub, Millis now) {
-      control_ = std::make_unique<xds::Control>(hub, RandomSeed(), Say);
+      control_ = std::make_unique<xds::Control>(hub, RandomSeed(), LogLine);
       control_->Restore(drained);
       return control_->Configure(services, now);
     });
     operators_ = std::make_unique<xds::Operators>(
         services->control.socket, *server_, control_,
         [this](const std::set<std::string>& nodes) { drains_.Write(nodes); });
-    Follow(*services);
+    UpdateSources(*services);
     services_ = std::move(services);
   }
 
   int port() const { return server_->port(); }
 
   void Reload(std::shared_ptr<const config::Services> services) {
-    const config::ControlSettings &old = services_->control, &now_wanted = services->control;
-    if (old.address != now_wanted.address || old.socket != now_wanted.socket ||
-        old.lease != now_wanted.lease || old.heartbeat != now_wanted.heartbeat ||
-        old.proxies != now_wanted.proxies || old.drains != now_wanted.drains) {
-      Say("control.address, socket, drains, proxies, lease and heartbeat count from the next start");
+    const config::ControlSettings &old = services_->control, &updated = services->control;
+    if (old.address != updated.address || old.socket != updated.socket || old.lease != updated.lease ||
+        old.heartbeat != updated.heartbeat || old.max_proxies != updated.max_proxies ||
+        old.drains_file != updated.drains_file) {
+      LogLine("control.address, socket, drains, proxies, lease and heartbeat count from the next start");
     }
     server_->With([&](xds::Hub&, Millis now) { return control_->Configure(services, now); });
-    Follow(*services);
+    UpdateSources(*services);
     services_ = std::move(services);
   }
 
  private:
   // Sources of pools whose definition stays are kept, those of others begin anew.
-  void Follow(const config::Services& services) {
-    std::map<std::string, Followed> next;
-    std::vector<gw::Source*> begin;
+  void UpdateSources(const config::Services& services) {
+    std::map<std::string, PoolSource> next;
+    std::vector<gw::Source*> started;
     for (const config::Pool& pool : services.pools) {
       const auto found = sources_.find(pool.id);
       if (found != sources_.end() && found->second.definition == pool.definition) {
@@ -110,17 +110,17 @@
           [this, id = pool.id](const gw::HostList& list) {
             server_->With([&](xds::Hub&, Millis now) { return control_->Told(id, list, now); });
           },
-          [] {}, [id = pool.id](const std::string& text) { Say("pool " + id + ": " + text); }};
-      Followed& to = next[pool.id];
+          [] {}, [id = pool.id](const std::string& text) { LogLine("pool " + id + ": " + text); }};
+      PoolSource& to = next[pool.id];
       to.definition = pool.definition;
       to.source = gw::MakeSource(io_, pool.membership, std::move(handlers));
-      begin.push_back(to.source.get());
+      started.push_back(to.source.get());
     }
     sources_ = std::move(next);
-    for (gw::Source* const source : begin) source->Start();
+    for (gw::Source* const source : started) source->Start();
   }
 
-  struct Followed {
+  struct PoolSource {
     std::string definition;
     std::unique_ptr<gw::Source> source;
   };
@@ -131,27 +131,27 @@
   std::unique_ptr<xds::Control> control_;  // of the deciding thread; ends after it
   std::unique_ptr<xds::Server> server_;
   std::unique_ptr<xds::Operators> operators_;
-  std::map<std::string, Followed> sources_;
+  std::map<std::string, PoolSource> sources_;
 };
 
 int Run(const std::string& path) {
   const auto first = config::LoadServices(path);
   if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
   asio::io_context io(1);
-  Running running(io, first.services);
+  ControlService service(io, first.services);
   std::unique_ptr<gw::FileWatch> watch;
   const auto reload = [&] {
     const auto next = config::LoadServices(path);
     if (!next.services) {
-      Say("not reloaded, " + std::to_string(next.issues.size()) + " faults in the file:");
+      LogLine("not reloaded, " + std::to_string(next.issues.size()) + " faults in the file:");
       return PrintIssues(next.issues, stderr);
     }
-    running.Reload(next.services);
-    Say("reloaded " + path);
+    service.Reload(next.services);
+    LogLine("reloaded " + path);
   };
   if (first.services->watches_file) watch = std::make_unique<gw::FileWatch>(io, path, reload);
   const std::string& address = first.services->control.address;
-  Say("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(running.port()));
+  LogLine("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(service.port()));
   RunLoop(
       io, [](auto done) { done(); }, reload);
   return kDone;
@@ -163,25 +163,25 @@
   app.require_subcommand(1);
   std::string file, socket, node;
   bool json = false, wait = false;
-  double most = 0;
+  double timeout_s = 0;
   auto* const run = app.add_subcommand("run", "serve until SIGTERM; SIGHUP reloads the file");
   run->add_option("--config", file, "the operators' file")->required();
-  const auto add_asking = [&](const char* name, const char* what) {
+  const auto add_client_command = [&](const char* name, const char* what) {
     auto* const command = app.add_subcommand(name, what);
     auto* const by_file =
         command->add_option("--config", file, "the operators' file, for its control.socket");
     command->add_option("--socket", socket, "the socket itself")->excludes(by_file);
     return command;
   };
-  auto* const status = add_asking("status", "tell what proxies are told, and what they reject");
+  auto* const status = add_client_command("status", "tell what proxies are told, and what they reject");
   status->add_flag("--json", json, "for programs");
-  auto* const drain = add_asking(
+  auto* const drain = add_client_command(
       "drain",
       "have no proxy send to a node, until it is undrained: exit code 4 if proxies are still waited for");
   drain->add_option("node", node, "its id")->required();
   drain->add_flag("--wait", wait, "return when every proxy has answered, or its lease has run out");
-  drain->add_option("--timeout", most, "seconds to wait at the most")->check(CLI::PositiveNumber);
-  auto* const undrain = add_asking("undrain", "take an operator's drain back");
+  drain->add_option("--timeout", timeout_s, "seconds to wait at the most")->check(CLI::PositiveNumber);
+  auto* const undrain = add_client_command("undrain", "take an operator's drain back");
   undrain->add_option("node", node, "its id")->required();
   try {
     app.parse(argc, argv);
@@ -197,7 +197,7 @@
     socket = parsed.services->control.socket;
   }
   if (status->parsed()) return xds::ShowStatus(socket, json);
-  if (drain->parsed()) return xds::DrainNode(socket, node, wait, most * 1000);
+  if (drain->parsed()) return xds::DrainNode(socket, node, wait, timeout_s * 1000);
   return xds::UndrainNode(socket, node);
 }
 
@@ -207,7 +207,7 @@
   try {
     return Main(argc, argv);
   } catch (const std::exception& error) {
-    Say(error.what());
+    LogLine(error.what());
     return kFailed;
   }
 }
--- a/src/apps/run_loop.cpp
+++ b/src/apps/run_loop.cpp
@@ -8,12 +8,12 @@
 
 void RunLoop(boost::asio::io_context& io, const std::function<void(std::function<void()>)>& stop,
              const std::function<void()>& reload) {
-  boost::asio::signal_set ends(io, SIGTERM, SIGINT), reloads(io, SIGHUP);
-  ends.async_wait([&](const boost::system::error_code& ec, int) {
+  boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
+  stop_signals.async_wait([&](const boost::system::error_code& ec, int) {
     if (!ec) stop([&] { io.stop(); });
   });
   std::function<void()> await_reload = [&] {
-    reloads.async_wait([&](const boost::system::error_code& ec, int) {
+    reload_signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (ec) return;
       reload();
       await_reload();
@@ -24,7 +24,7 @@
 }
 
 void PrintIssues(const std::vector<config::Issue>& issues, std::FILE* to) {
-  for (const config::Issue& issue : issues) std::fprintf(to, "%s\n", issue.ToText().c_str());
+  for (const config::Issue& issue : issues) std::fprintf(to, "%s\n", issue.ToString().c_str());
 }
 
 std::uint64_t RandomSeed() {
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -34,13 +34,13 @@
 
 struct ControlSettings {
   std::string address = "127.0.0.1:18000";
-  std::string socket;          // of `status` and `drain`: a path, in the file's folder unless absolute
-  std::string drains;          // a file that keeps operators' drains over a restart; empty = none
-  std::size_t proxies = 5000;  // at once
+  std::string socket;              // of `status` and `drain`: a path, in the file's folder unless absolute
+  std::string drains_file;         // a file that keeps operators' drains over a restart; empty = none
+  std::size_t max_proxies = 5000;  // at once
   Millis lease = 400, heartbeat = 100;  // of strict pools
-  Millis coalesce = 200;                // changes that are no drain wait so long for their like
-  Millis report_every = 1000;           // proxies are asked for load reports so often
-  double threshold = 0.1;               // a weight that moves by less than this part of itself is not sent
+  Millis coalesce_delay = 200;          // changes that are no drain wait so long for their like
+  Millis load_report_interval = 1000;   // proxies are asked for load reports so often
+  double weight_change_fraction = 0.1;  // a weight that moves by less than this part of itself is not sent
   std::optional<ControlTls> tls;
   bool plaintext_anywhere = false;   // without TLS on addresses that are not loopback
   std::vector<ControlGroup> groups;  // the first that takes a proxy counts; one that none takes sees all
@@ -52,7 +52,7 @@
                             const std::vector<std::string>& listeners, const std::string& folder);
 
 // A path of the file's: taken from its folder unless it is absolute.
-std::string PathIn(const std::string& folder, const std::string& file);
+std::string ResolvePath(const std::string& folder, const std::string& file);
 
 // Whether a pattern, which may end in '*', takes a name.
 bool MatchesPattern(const std::string& pattern, const std::string& name);
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -14,13 +14,13 @@
 namespace opalswitch::config {
 namespace {
 
-constexpr std::size_t kMostListeners = 64;
-constexpr std::size_t kMostPools = 256;
-constexpr std::size_t kMostRoutes = 100000;
-constexpr std::uint64_t kMostMessage = 16 << 20;  // bodies are held whole
-constexpr std::uint64_t kUsualMessage = 64 << 10;
-constexpr double kUsualLateWorth = 0.5;
-constexpr double kBodyPart = 0.15;  // of the memory: bodies are held twice while they are passed on
+constexpr std::size_t kMaxListeners = 64;
+constexpr std::size_t kMaxPools = 256;
+constexpr std::size_t kMaxRoutes = 100000;
+constexpr std::uint64_t kMaxConfigurableBodyBytes = 16 << 20;  // bodies are held whole
+constexpr std::uint64_t kDefaultMaxBodyBytes = 64 << 10;
+constexpr double kDefaultLateWorth = 0.5;
+constexpr double kBodyMemoryFraction = 0.15;  // of the memory: bodies are held twice while they are passed on
 
 bool IsToken(std::string_view text) {  // RFC 9110 5.6.2
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -29,41 +29,41 @@
   });
 }
 
-std::string Quoted(std::string_view text) { return "\"" + std::string(text) + "\""; }
+std::string Quote(std::string_view text) { return "\"" + std::string(text) + "\""; }
 
 // "cold, warm or hot"
 template <typename List, typename Name>
-std::string OneOf(const List& list, Name name) {
+std::string FormatChoices(const List& list, Name name) {
   if (list.empty()) return "nothing: the file has none";
   std::string text = "one of";
-  std::size_t told = 0;
+  std::size_t listed = 0;
   for (const auto& item : list) {
-    if (++told > 8) return text + " ...";
-    text += " " + Quoted(name(item));
+    if (++listed > 8) return text + " ...";
+    text += " " + Quote(name(item));
   }
   return text;
 }
 
-class Reader {
+class ServicesReader {
  public:
-  Reader(Services& services, Issues& issues, std::string folder)
+  ServicesReader(Services& services, Issues& issues, std::string folder)
       : services_(services), issues_(issues), folder_(std::move(folder)) {}
 
   void Read(const toml::table& root) {
     TableReader top(root, "", issues_);
     if (const auto* const table = top.Table("process")) ReadProcess(*table);
     if (const auto* const table = top.Table("request")) ReadHeaders(*table);
-    Each(top, "listener", kMostListeners, [&](TableReader& f) { ReadListener(f); });
-    Each(top, "class", 64, [&](TableReader& f) { ReadClass(f); });
-    Each(top, "tenant", 10000, [&](TableReader& f) { ReadTenant(f); });
-    Each(top, "pool", kMostPools, [&](TableReader& f) { ReadPool(f); });
-    Each(top, "route", kMostRoutes, [&](TableReader& f) { ReadRoute(f); });
+    ReadEach(top, "listener", kMaxListeners, [&](TableReader& reader) { ReadListener(reader); });
+    ReadEach(top, "class", 64, [&](TableReader& reader) { ReadClass(reader); });
+    ReadEach(top, "tenant", 10000, [&](TableReader& reader) { ReadTenant(reader); });
+    ReadEach(top, "pool", kMaxPools, [&](TableReader& reader) { ReadPool(reader); });
+    ReadEach(top, "route", kMaxRoutes, [&](TableReader& reader) { ReadRoute(reader); });
     if (const auto* const table = top.Table("control")) {
       std::vector<std::string> pools, listeners;
       for (const Pool& pool : services_.pools) pools.push_back(pool.id);
       for (const Listener& listener : services_.listeners) listeners.push_back(listener.id);
-      TableReader f(*table, "control", issues_);
-      services_.control = ReadControl(f, issues_, pools, listeners, folder_);
+      TableReader reader(*table, "control", issues_);
+      services_.control = ReadControl(reader, issues_, pools, listeners, folder_);
     }
     for (const auto& [list, expected] : std::initializer_list<std::pair<const char*, const char*>>{
              {"listener", "a [[listener]] with an address to listen at"},
@@ -78,124 +78,131 @@
 
  private:
   template <typename ReadOne>
-  void Each(TableReader& top, const char* key, std::size_t most, ReadOne read) {
+  void ReadEach(TableReader& top, const char* key, std::size_t max, ReadOne read) {
     const auto tables = top.Tables(key);
-    if (tables.size() > most) return top.AddIssue(key, "more than " + std::to_string(most) + " of them");
+    if (tables.size() > max) return top.AddIssue(key, "more than " + std::to_string(max) + " of them");
     for (std::size_t i = 0; i < tables.size(); ++i) {
       // Named by its id as far as there is one: a place in a list is hard to count to.
       std::string name = std::string(key) + "[" + std::to_string(i) + "]";
       if (const auto* const id = tables[i]->get_as<std::string>("id"))
         name = std::string(key) + "." + id->get();
-      TableReader fields(*tables[i], name, issues_);
-      read(fields);
+      TableReader reader(*tables[i], name, issues_);
+      read(reader);
     }
   }
 
   // An id that no other of its kind has.
-  std::string TakeId(TableReader& f, const char* kind, bool needed = true) {
-    auto id = f.Name("id");
+  std::string ReadUniqueId(TableReader& reader, const char* kind, bool is_required = true) {
+    auto id = reader.Name("id");
     if (!id) {
-      if (needed && !f.Has("id")) f.AddMissing("id", std::string("a name for the ") + kind);
+      if (is_required && !reader.Has("id")) reader.AddMissing("id", std::string("a name for the ") + kind);
       return {};
     }
-    const auto [entry, added] = ids_.try_emplace(std::string(kind) + " " + *id, f.at().begin.line);
+    const auto [entry, added] =
+        lines_by_id_.try_emplace(std::string(kind) + " " + *id, reader.at().begin.line);
     if (!added) {
-      f.AddIssue("id", "found " + Quoted(*id) + ", which the " + kind + " in line " +
-                           std::to_string(entry->second) + " has already, expected an id of its own");
+      reader.AddIssue("id", "found " + Quote(*id) + ", which the " + kind + " in line " +
+                                std::to_string(entry->second) + " has already, expected an id of its own");
     }
     return *id;
   }
 
   void ReadProcess(const toml::table& table) {
-    TableReader f(table, "process", issues_);
-    services_.descriptors = static_cast<std::size_t>(f.Integer("descriptors", 64, 10000000).value_or(1024));
-    services_.memory = f.Size("memory").value_or(128 << 20);
-    services_.watches_file = f.Flag("watch").value_or(false);
-    services_.reports_cause = f.Flag("tell_cause").value_or(true);
-    services_.health_path = f.String("health_path").value_or("");
+    TableReader reader(table, "process", issues_);
+    services_.descriptors =
+        static_cast<std::size_t>(reader.Integer("descriptors", 64, 10000000).value_or(1024));
+    services_.memory_bytes = reader.Size("memory").value_or(128 << 20);
+    services_.watches_file = reader.Flag("watch").value_or(false);
+    services_.reports_cause = reader.Flag("tell_cause").value_or(true);
+    services_.health_path = reader.String("health_path").value_or("");
     std::string error;
     if (!services_.health_path.empty() &&
         routing::NormalizePath(services_.health_path, error) != services_.health_path) {
-      f.AddInvalid("health_path", "a path in its normal form, such as \"/up\"");
+      reader.AddInvalid("health_path", "a path in its normal form, such as \"/up\"");
     }
-    gateways_ = static_cast<int>(f.Integer("gateways", 1, 100000).value_or(1));
-    index_ = static_cast<int>(f.Integer("index", 0, 99999).value_or(-1));
+    gateways_ = static_cast<int>(reader.Integer("gateways", 1, 100000).value_or(1));
+    index_ = static_cast<int>(reader.Integer("index", 0, 99999).value_or(-1));
     if (index_ >= gateways_)
-      f.AddInvalid("index", "a number below gateways (" + std::to_string(gateways_) + ")");
-    zone_ = f.String("zone").value_or("");
+      reader.AddInvalid("index", "a number below gateways (" + std::to_string(gateways_) + ")");
+    zone_ = reader.String("zone").value_or("");
   }
 
   void ReadHeaders(const toml::table& table) {
-    TableReader f(table, "request", issues_);
-    RequestHeaders& h = services_.headers;
-    for (const auto& [key, to] :
-         std::initializer_list<std::pair<const char*, std::string*>>{{"id_header", &h.id},
-                                                                     {"class_header", &h.class_name},
-                                                                     {"tenant_header", &h.tenant},
-                                                                     {"key_header", &h.key},
-                                                                     {"deadline_header", &h.deadline},
-                                                                     {"retry_header", &h.retry}}) {
-      *to = f.String(key).value_or("");
-      if (!to->empty() && !IsToken(*to)) f.AddInvalid(key, "a header's name");
+    TableReader reader(table, "request", issues_);
+    RequestHeaders& headers = services_.headers;
+    for (const auto& [key, target] :
+         std::initializer_list<std::pair<const char*, std::string*>>{{"id_header", &headers.id},
+                                                                     {"class_header", &headers.class_name},
+                                                                     {"tenant_header", &headers.tenant},
+                                                                     {"key_header", &headers.key},
+                                                                     {"deadline_header", &headers.deadline},
+                                                                     {"retry_header", &headers.retry}}) {
+      *target = reader.String(key).value_or("");
+      if (!target->empty() && !IsToken(*target)) reader.AddInvalid(key, "a header's name");
     }
   }
 
-  void ReadListener(TableReader& f) {
+  void ReadListener(TableReader& reader) {
     Listener listener;
-    listener.id = TakeId(f, "listener");
-    listener.address = f.Required("address", f.Address("address"), "an IP address and port to listen at");
+    listener.id = ReadUniqueId(reader, "listener");
+    listener.address =
+        reader.Required("address", reader.Address("address"), "an IP address and port to listen at");
     for (const Listener& other : services_.listeners) {
       if (listener.address.port() != 0 && other.address == listener.address) {
-        f.AddInvalid("address", "one that listener " + Quoted(other.id) + " does not have");
+        reader.AddInvalid("address", "one that listener " + Quote(other.id) + " does not have");
       }
     }
     services_.listeners.push_back(listener);
   }
 
-  std::vector<std::string> Methods(TableReader& f) {
-    auto methods = f.Strings("methods");
+  std::vector<std::string> ReadMethods(TableReader& reader) {
+    auto methods = reader.Strings("methods");
     for (const std::string& method : methods) {
       if (!IsToken(method) || method == "CONNECT" || method == "TRACE") {
-        f.AddInvalid("methods", "HTTP methods, in capitals; CONNECT and TRACE are never passed on");
+        reader.AddInvalid("methods", "HTTP methods, in capitals; CONNECT and TRACE are never passed on");
         break;
       }
     }
     return methods;
   }
 
-  void ReadClass(TableReader& f) {
-    ServiceClass c;
-    ClassSettings& s = c.settings;
-    s.name = TakeId(f, "class");
-    s.effect = static_cast<Effect>(f.Required("effect", f.Choice("effect", {"safe", "keyed", "unsafe"}),
-                                              "\"safe\", \"keyed\" or \"unsafe\""));
-    if (!f.Has("effect")) s.effect = Effect::kUnsafe;
-    s.aim = f.Required("aim", f.Duration("aim"), "a time with its unit: an answer within it is in time");
-    s.deadline =
-        f.Required("deadline", f.Duration("deadline"), "a time with its unit: a client's whole patience");
-    if (s.aim > 0 && s.deadline > 0 && s.aim > s.deadline)
-      f.AddInvalid("aim", "a time no longer than the deadline");
-    s.worth = f.Number("worth", 0, 1e6).value_or(1);
+  void ReadClass(TableReader& reader) {
+    ServiceClass service_class;
+    ClassSettings& settings = service_class.settings;
+    settings.name = ReadUniqueId(reader, "class");
+    settings.effect = static_cast<Effect>(reader.Required(
+        "effect", reader.Choice("effect", {"safe", "keyed", "unsafe"}), "\"safe\", \"keyed\" or \"unsafe\""));
+    if (!reader.Has("effect")) settings.effect = Effect::kUnsafe;
+    settings.aim = reader.Required("aim", reader.Duration("aim"),
+                                   "a time with its unit: an answer within it is in time");
+    settings.deadline = reader.Required("deadline", reader.Duration("deadline"),
+                                        "a time with its unit: a client's whole patience");
+    if (settings.aim > 0 && settings.deadline > 0 && settings.aim > settings.deadline)
+      reader.AddInvalid("aim", "a time no longer than the deadline");
+    settings.worth = reader.Number("worth", 0, 1e6).value_or(1);
     // A client that waits to its deadline gets an answer until then, unless the operators say it is worth
     // nothing.
-    s.late_worth = f.Number("late_worth", 0, 1).value_or(kUsualLateWorth);
-    s.group = static_cast<DeduplicationScope>(f.Choice("group", {"all", "zone", "cell"}).value_or(0));
-    s.repeat_window = f.Duration("repeat_window", true).value_or(0);
-    if (s.effect == Effect::kKeyed && s.repeat_window <= 0 && !f.Has("repeat_window")) {
-      f.AddMissing("repeat_window", "a time with its unit: how long hosts drop repeats of a keyed request");
-    }
-    if (s.effect != Effect::kKeyed && (f.Has("group") || f.Has("repeat_window"))) {
-      f.AddIssue(f.Has("group") ? "group" : "repeat_window", "only a keyed class has one");
-    }
-    c.methods = Methods(f);
-    if (c.methods.empty() && s.effect == Effect::kSafe) c.methods = {"GET", "HEAD", "OPTIONS"};
-    services_.classes.push_back(std::move(c));
+    settings.late_worth = reader.Number("late_worth", 0, 1).value_or(kDefaultLateWorth);
+    settings.group =
+        static_cast<DeduplicationScope>(reader.Choice("group", {"all", "zone", "cell"}).value_or(0));
+    settings.repeat_window = reader.Duration("repeat_window", true).value_or(0);
+    if (settings.effect == Effect::kKeyed && settings.repeat_window <= 0 && !reader.Has("repeat_window")) {
+      reader.AddMissing("repeat_window",
+                        "a time with its unit: how long hosts drop repeats of a keyed request");
+    }
+    if (settings.effect != Effect::kKeyed && (reader.Has("group") || reader.Has("repeat_window"))) {
+      reader.AddIssue(reader.Has("group") ? "group" : "repeat_window", "only a keyed class has one");
+    }
+    service_class.methods = ReadMethods(reader);
+    if (service_class.methods.empty() && settings.effect == Effect::kSafe)
+      service_class.methods = {"GET", "HEAD", "OPTIONS"};
+    services_.classes.push_back(std::move(service_class));
   }
 
-  void ReadTenant(TableReader& f) {
+  void ReadTenant(TableReader& reader) {
     Tenant tenant;
-    tenant.id = TakeId(f, "tenant");
-    tenant.share = f.Number("share", 0, 1e9).value_or(0);
+    tenant.id = ReadUniqueId(reader, "tenant");
+    tenant.quota_per_s = reader.Number("share", 0, 1e9).value_or(0);
     services_.tenants.push_back(tenant);
   }
 
@@ -206,176 +213,190 @@
     return -1;
   }
   std::string ClassNames() const {
-    return OneOf(services_.classes, [](const ServiceClass& c) { return c.settings.name; });
+    return FormatChoices(services_.classes, [](const ServiceClass& c) { return c.settings.name; });
   }
 
-  BudgetShare ReadBudgetShare(TableReader& f, const char* key, bool bytes) {
-    BudgetShare portion;
-    const toml::table* const table = f.Table(key);
-    if (table == nullptr) return portion;
-    TableReader p(*table, f.PathOf(key), issues_);
+  BudgetShare ReadBudgetShare(TableReader& reader, const char* key, bool is_bytes) {
+    BudgetShare share;
+    const toml::table* const table = reader.Table(key);
+    if (table == nullptr) return share;
+    TableReader share_reader(*table, reader.PathOf(key), issues_);
     const auto amount = [&](const char* name) -> std::uint64_t {
-      if (bytes) return p.Size(name).value_or(0);
-      return static_cast<std::uint64_t>(p.Integer(name, 1, 10000000).value_or(0));
+      if (is_bytes) return share_reader.Size(name).value_or(0);
+      return static_cast<std::uint64_t>(share_reader.Integer(name, 1, 10000000).value_or(0));
     };
-    portion.guaranteed = amount("guaranteed");
-    portion.max = amount("most");
-    if (portion.max > 0 && portion.max < portion.guaranteed)
-      p.AddInvalid("most", "no less than what is guaranteed");
-    return portion;
+    share.guaranteed = amount("guaranteed");
+    share.max = amount("most");
+    if (share.max > 0 && share.max < share.guaranteed)
+      share_reader.AddInvalid("most", "no less than what is guaranteed");
+    return share;
   }
 
-  void ReadHosts(TableReader& f, Pool& pool) {
+  void ReadHosts(TableReader& reader, Pool& pool) {
     std::set<std::string> seen;
-    const auto tables = f.Tables("host");
+    const auto tables = reader.Tables("host");
     for (std::size_t i = 0; i < tables.size(); ++i) {
-      TableReader h(*tables[i], f.PathOf("host[" + std::to_string(i) + "]"), issues_);
+      TableReader host_reader(*tables[i], reader.PathOf("host[" + std::to_string(i) + "]"), issues_);
       gateway::Host host;
-      host.address = h.Required("address", h.Address("address"), "the host's IP address and port");
+      host.address =
+          host_reader.Required("address", host_reader.Address("address"), "the host's IP address and port");
       const std::string address = gateway::ToText(host.address);
-      host.server.id = h.Name("id").value_or(address);
-      host.server.zone = h.String("zone").value_or("");
-      host.server.kind = h.String("kind").value_or("");
-      host.server.cell = h.String("cell").value_or("");
-      host.server.weight = h.Number("weight", 0.001, 10000).value_or(1);
-      host.server.state =
-          h.Choice("state", {"up", "draining"}).value_or(0) == 0 ? ServerState::kUp : ServerState::kDraining;
+      host.server.id = host_reader.Name("id").value_or(address);
+      host.server.zone = host_reader.String("zone").value_or("");
+      host.server.kind = host_reader.String("kind").value_or("");
+      host.server.cell = host_reader.String("cell").value_or("");
+      host.server.weight = host_reader.Number("weight", 0.001, 10000).value_or(1);
+      host.server.state = host_reader.Choice("state", {"up", "draining"}).value_or(0) == 0
+                              ? ServerState::kUp
+                              : ServerState::kDraining;
       if (!seen.insert(host.server.id).second) {
-        h.AddIssue(h.Has("id") ? "id" : "address",
-                   "found " + Quoted(host.server.id) + " a second time in this pool");
+        host_reader.AddIssue(host_reader.Has("id") ? "id" : "address",
+                             "found " + Quote(host.server.id) + " a second time in this pool");
       }
       // One node has one id in all pools: a drain that one of them is told of reaches it in the others.
-      const auto [known, added] = nodes_.try_emplace(address, host.server.id);
-      if (!added && known->second != host.server.id && h.Has("address")) {
-        h.AddIssue("address", "found " + Quoted(address) + ", which is host " + Quoted(known->second) +
-                                  " elsewhere in this file, expected the same id for the same node");
+      const auto [known, added] = node_ids_by_address_.try_emplace(address, host.server.id);
+      if (!added && known->second != host.server.id && host_reader.Has("address")) {
+        host_reader.AddIssue("address",
+                             "found " + Quote(address) + ", which is host " + Quote(known->second) +
+                                 " elsewhere in this file, expected the same id for the same node");
       }
       pool.membership.hosts.push_back(std::move(host));
     }
   }
 
-  void ReadMembership(TableReader& f, Pool& pool) {
-    Membership& m = pool.membership;
-    const toml::table* const table = f.Table("membership");
+  void ReadMembership(TableReader& reader, Pool& pool) {
+    Membership& membership = pool.membership;
+    const toml::table* const table = reader.Table("membership");
     if (table != nullptr) {
-      TableReader s(*table, f.PathOf("membership"), issues_);
-      const auto source = s.Required("source", s.Choice("source", {"static", "file", "discovery"}),
-                                     "\"static\", \"file\" or \"discovery\"");
-      m.source = static_cast<Membership::Source>(source);
-      if (m.source == Membership::Source::kFile)
-        m.file = PathIn(folder_, s.Required("file", s.String("file"), "the path of a list of hosts"));
-      if (m.source == Membership::Source::kDiscovery) {
-        m.discovery =
-            s.Required("address", s.Address("address"), "the IP address and port of a discovery service");
+      TableReader source_reader(*table, reader.PathOf("membership"), issues_);
+      const auto source =
+          source_reader.Required("source", source_reader.Choice("source", {"static", "file", "discovery"}),
+                                 "\"static\", \"file\" or \"discovery\"");
+      membership.source = static_cast<Membership::Source>(source);
+      if (membership.source == Membership::Source::kFile)
+        membership.file = ResolvePath(folder_, source_reader.Required("file", source_reader.String("file"),
+                                                                      "the path of a list of hosts"));
+      if (membership.source == Membership::Source::kDiscovery) {
+        membership.discovery = source_reader.Required("address", source_reader.Address("address"),
+                                                      "the IP address and port of a discovery service");
       }
     }
-    if (m.source == Membership::Source::kStatic) {
-      if (!f.Has("host"))
-        f.AddMissing("host", "a [[pool.host]] with an address, or a [pool.membership] that names a source");
-    } else if (f.Has("host")) {
-      f.AddIssue("host", "hosts are listed in the file only where the membership's source is \"static\"");
+    if (membership.source == Membership::Source::kStatic) {
+      if (!reader.Has("host"))
+        reader.AddMissing("host",
+                          "a [[pool.host]] with an address, or a [pool.membership] that names a source");
+    } else if (reader.Has("host")) {
+      reader.AddIssue("host",
+                      "hosts are listed in the file only where the membership's source is \"static\"");
     }
-    ReadHosts(f, pool);
+    ReadHosts(reader, pool);
   }
 
-  void ReadPool(TableReader& f) {
+  void ReadPool(TableReader& reader) {
     Pool pool;
-    pool.id = TakeId(f, "pool");
-    ReadMembership(f, pool);
+    pool.id = ReadUniqueId(reader, "pool");
+    ReadMembership(reader, pool);
     std::int64_t in_flight = 0, queue = 0;
-    pool.max_request_bytes = pool.max_response_bytes = kUsualMessage;
-    if (const auto* const table = f.Table("limits")) {
-      TableReader l(*table, f.PathOf("limits"), issues_);
-      in_flight = l.Integer("in_flight", 1, 1000000).value_or(0);
-      queue = l.Integer("queue", 0, 1000000).value_or(-1);
-      if (l.Has("queue") && in_flight == 0)
-        l.AddIssue("queue", "a bound on the queue needs in_flight beside it");
-      pool.limits.requests_per_s = l.Number("requests_per_second", 0.001, 1e9).value_or(0);
-      pool.limits.burst = l.Number("burst", 1, 1e9).value_or(0);
-      if (l.Has("burst") && pool.limits.requests_per_s == 0)
-        l.AddIssue("burst", "a burst needs requests_per_second beside it");
-      pool.refusal_reads_per_s = l.Number("refused_per_second", 1, 1e9).value_or(pool.refusal_reads_per_s);
-      pool.max_request_bytes = std::min(l.Size("request_body").value_or(kUsualMessage), kMostMessage + 1);
-      pool.max_response_bytes = std::min(l.Size("answer_body").value_or(kUsualMessage), kMostMessage + 1);
+    pool.max_request_bytes = pool.max_response_bytes = kDefaultMaxBodyBytes;
+    if (const auto* const table = reader.Table("limits")) {
+      TableReader limits_reader(*table, reader.PathOf("limits"), issues_);
+      in_flight = limits_reader.Integer("in_flight", 1, 1000000).value_or(0);
+      queue = limits_reader.Integer("queue", 0, 1000000).value_or(-1);
+      if (limits_reader.Has("queue") && in_flight == 0)
+        limits_reader.AddIssue("queue", "a bound on the queue needs in_flight beside it");
+      pool.limits.requests_per_s = limits_reader.Number("requests_per_second", 0.001, 1e9).value_or(0);
+      pool.limits.burst = limits_reader.Number("burst", 1, 1e9).value_or(0);
+      if (limits_reader.Has("burst") && pool.limits.requests_per_s == 0)
+        limits_reader.AddIssue("burst", "a burst needs requests_per_second beside it");
+      pool.refusal_reads_per_s =
+          limits_reader.Number("refused_per_second", 1, 1e9).value_or(pool.refusal_reads_per_s);
+      pool.max_request_bytes = std::min(limits_reader.Size("request_body").value_or(kDefaultMaxBodyBytes),
+                                        kMaxConfigurableBodyBytes + 1);
+      pool.max_response_bytes = std::min(limits_reader.Size("answer_body").value_or(kDefaultMaxBodyBytes),
+                                         kMaxConfigurableBodyBytes + 1);
       for (const char* const key : {"request_body", "answer_body"}) {
-        if ((key[0] == 'r' ? pool.max_request_bytes : pool.max_response_bytes) > kMostMessage)
-          l.AddInvalid(key, "16MiB at most");
+        if ((key[0] == 'r' ? pool.max_request_bytes : pool.max_response_bytes) > kMaxConfigurableBodyBytes)
+          limits_reader.AddInvalid(key, "16MiB at most");
       }
-      pool.descriptors = ReadBudgetShare(l, "descriptors", false);
-      pool.clients = ReadBudgetShare(l, "clients", false);
-      pool.body_memory = ReadBudgetShare(l, "body_memory", true);
+      pool.descriptors = ReadBudgetShare(limits_reader, "descriptors", false);
+      pool.clients = ReadBudgetShare(limits_reader, "clients", false);
+      pool.body_memory = ReadBudgetShare(limits_reader, "body_memory", true);
     }
     if (in_flight > 0 && queue >= 0) pool.limits.held = static_cast<std::size_t>(in_flight + queue);
     pool.dial_timeout = 250;
     pool.idle_timeout = 15000;
-    if (const auto* const table = f.Table("timeouts")) {
-      TableReader t(*table, f.PathOf("timeouts"), issues_);
-      pool.dial_timeout = t.Duration("dial").value_or(250);
-      pool.idle_timeout = t.Duration("idle").value_or(15000);
-    }
-    pool.response_rules = static_cast<ResponseRules>(f.Choice("answers", {"plain", "platform"}).value_or(0));
-    pool.strict_drain = f.Choice("drain", {"static", "strict"}).value_or(0) == 1;
-    Settings& s = pool.settings;
-    s.max_attempts = static_cast<int>(f.Integer("attempts", 1, 16).value_or(3));
-    s.max_in_flight = static_cast<int>(in_flight);
-    s.gateways = gateways_;
-    s.index = index_;
-    s.zone = zone_;
-    s.can_cancel = true;
-    s.sends_retry_after = true;
-    s.max_retry_after = 30000;
-    s.clients_mark_retries = !services_.headers.retry.empty();
-    s.load_report_fields = f.Strings("load_report");
-    if (const auto* const table = f.Table("cold")) {
-      TableReader c(*table, f.PathOf("cold"), issues_);
-      s.cold_capacity_fraction =
-          c.Required("from", c.Number("from", 0.001, 1), "the part of its work that a started host can do");
-      s.warm_up_time = c.Required("for", c.Duration("for"), "the time until a started host can do all of it");
-      s.overload_multiple = c.Number("fall_multiple", 0.1, 1000).value_or(3);
-      if (!(s.cold_capacity_fraction > 0)) s.cold_capacity_fraction = 1;
-    }
-    for (const ServiceClass& c : services_.classes) s.classes.push_back(c.settings);
-    if (const auto* const table = f.Table("effects")) ReadEffects(f, *table, s);
-    for (const Tenant& t : services_.tenants) s.tenants.push_back({t.id, t.share});
-    if (const auto* const table = f.Table("shares")) ReadShares(f, *table, s);
-    Define(pool);
+    if (const auto* const table = reader.Table("timeouts")) {
+      TableReader timeouts_reader(*table, reader.PathOf("timeouts"), issues_);
+      pool.dial_timeout = timeouts_reader.Duration("dial").value_or(250);
+      pool.idle_timeout = timeouts_reader.Duration("idle").value_or(15000);
+    }
+    pool.response_rules =
+        static_cast<ResponseRules>(reader.Choice("answers", {"plain", "platform"}).value_or(0));
+    pool.strict_drain = reader.Choice("drain", {"static", "strict"}).value_or(0) == 1;
+    Settings& settings = pool.settings;
+    settings.max_attempts = static_cast<int>(reader.Integer("attempts", 1, 16).value_or(3));
+    settings.max_in_flight = static_cast<int>(in_flight);
+    settings.gateways = gateways_;
+    settings.index = index_;
+    settings.zone = zone_;
+    settings.can_cancel = true;
+    settings.sends_retry_after = true;
+    settings.max_retry_after = 30000;
+    settings.clients_mark_retries = !services_.headers.retry.empty();
+    settings.load_report_fields = reader.Strings("load_report");
+    if (const auto* const table = reader.Table("cold")) {
+      TableReader cold_reader(*table, reader.PathOf("cold"), issues_);
+      settings.cold_capacity_fraction = cold_reader.Required(
+          "from", cold_reader.Number("from", 0.001, 1), "the part of its work that a started host can do");
+      settings.warm_up_time = cold_reader.Required("for", cold_reader.Duration("for"),
+                                                   "the time until a started host can do all of it");
+      settings.overload_multiple = cold_reader.Number("fall_multiple", 0.1, 1000).value_or(3);
+      if (!(settings.cold_capacity_fraction > 0)) settings.cold_capacity_fraction = 1;
+    }
+    for (const ServiceClass& c : services_.classes) settings.classes.push_back(c.settings);
+    if (const auto* const table = reader.Table("effects")) ReadEffects(reader, *table, settings);
+    for (const Tenant& t : services_.tenants) settings.tenants.push_back({t.id, t.quota_per_s});
+    if (const auto* const table = reader.Table("shares")) ReadShares(reader, *table, settings);
+    SetDefinition(pool);
     services_.pools.push_back(std::move(pool));
   }
 
-  void ReadEffects(TableReader& f, const toml::table& table, Settings& s) {
-    TableReader e(table, f.PathOf("effects"), issues_);
-    for (const std::string& name : e.Keys()) {
+  void ReadEffects(TableReader& reader, const toml::table& table, Settings& settings) {
+    TableReader effects_reader(table, reader.PathOf("effects"), issues_);
+    for (const std::string& name : effects_reader.Keys()) {
       const int index = ClassIndex(name);
-      const auto effect = e.Choice(name, {"safe", "keyed", "unsafe"});
+      const auto effect = effects_reader.Choice(name, {"safe", "keyed", "unsafe"});
       if (index < 0) {
-        e.AddIssue(name, "there is no class " + Quoted(name) + ", expected " + ClassNames());
+        effects_reader.AddIssue(name, "there is no class " + Quote(name) + ", expected " + ClassNames());
         continue;
       }
       if (!effect) continue;
-      ClassSettings& c = s.classes[static_cast<std::size_t>(index)];
+      ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(index)];
       const auto wanted = static_cast<Effect>(*effect);
-      if (Strictness(wanted) < Strictness(c.effect)) {
-        e.AddInvalid(name, "what is no looser than the class itself, which says \"" +
-                               std::string(c.effect == Effect::kUnsafe ? "unsafe" : "keyed") + "\"");
+      if (Strictness(wanted) < Strictness(class_settings.effect)) {
+        effects_reader.AddInvalid(
+            name, "what is no looser than the class itself, which says \"" +
+                      std::string(class_settings.effect == Effect::kUnsafe ? "unsafe" : "keyed") + "\"");
         continue;
       }
-      if (wanted == Effect::kKeyed && c.effect == Effect::kSafe) {
-        e.AddInvalid(name, "\"unsafe\": a safe class has no window in which hosts drop repeats");
+      if (wanted == Effect::kKeyed && class_settings.effect == Effect::kSafe) {
+        effects_reader.AddInvalid(name, "\"unsafe\": a safe class has no window in which hosts drop repeats");
         continue;
       }
-      c.effect = wanted;
+      class_settings.effect = wanted;
     }
   }
 
-  void ReadShares(TableReader& f, const toml::table& table, Settings& s) {
-    TableReader t(table, f.PathOf("shares"), issues_);
-    for (const std::string& name : t.Keys()) {
-      const auto found = std::find_if(s.tenants.begin(), s.tenants.end(),
+  void ReadShares(TableReader& reader, const toml::table& table, Settings& settings) {
+    TableReader shares_reader(table, reader.PathOf("shares"), issues_);
+    for (const std::string& name : shares_reader.Keys()) {
+      const auto found = std::find_if(settings.tenants.begin(), settings.tenants.end(),
                                       [&](const TenantSettings& tenant) { return tenant.name == name; });
-      const auto share = t.Number(name, 0, 1e9);
-      if (found == s.tenants.end()) {
-        t.AddIssue(name, "there is no tenant " + Quoted(name) + ", expected " +
-                             OneOf(services_.tenants, [](const Tenant& tenant) { return tenant.id; }));
+      const auto share = shares_reader.Number(name, 0, 1e9);
+      if (found == settings.tenants.end()) {
+        shares_reader.AddIssue(
+            name, "there is no tenant " + Quote(name) + ", expected " +
+                      FormatChoices(services_.tenants, [](const Tenant& tenant) { return tenant.id; }));
       } else if (share) {
         found->quota_per_s = *share;
       }
@@ -383,19 +404,21 @@
   }
 
   // Everything that a running pool can't take over without starting anew. The static hosts are not of it.
-  static void Define(Pool& pool) {
+  static void SetDefinition(Pool& pool) {
     std::ostringstream out;
     out.precision(17);
-    const Settings& s = pool.settings;
-    for (const ClassSettings& c : s.classes) {
+    const Settings& settings = pool.settings;
+    for (const ClassSettings& c : settings.classes) {
       out << "class " << c.name << ' ' << c.aim << ' ' << c.deadline << ' ' << c.worth << ' ' << c.late_worth
           << ' ' << static_cast<int>(c.effect) << static_cast<int>(c.group) << ' ' << c.repeat_window << '\n';
     }
-    for (const TenantSettings& t : s.tenants) out << "tenant " << t.name << ' ' << t.quota_per_s << '\n';
-    out << "module " << s.zone << '|' << s.gateways << ' ' << s.index << ' ' << s.max_attempts << ' '
-        << s.max_in_flight << ' ' << s.cold_capacity_fraction << ' ' << s.warm_up_time << ' '
-        << s.overload_multiple << ' ' << s.clients_mark_retries << '\n';
-    for (const std::string& field : s.load_report_fields) out << "report " << field << '\n';
+    for (const TenantSettings& t : settings.tenants)
+      out << "tenant " << t.name << ' ' << t.quota_per_s << '\n';
+    out << "module " << settings.zone << '|' << settings.gateways << ' ' << settings.index << ' '
+        << settings.max_attempts << ' ' << settings.max_in_flight << ' ' << settings.cold_capacity_fraction
+        << ' ' << settings.warm_up_time << ' ' << settings.overload_multiple << ' '
+        << settings.clients_mark_retries << '\n';
+    for (const std::string& field : settings.load_report_fields) out << "report " << field << '\n';
     out << "gate " << pool.limits.requests_per_s << ' ' << pool.limits.burst << ' ' << pool.limits.held << ' '
         << pool.refusal_reads_per_s << '\n';
     for (const BudgetShare* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
@@ -404,110 +427,116 @@
     out << "bodies " << pool.max_request_bytes << ' ' << pool.max_response_bytes << '\n';
     out << "times " << pool.dial_timeout << ' ' << pool.idle_timeout << '\n';
     out << "answers " << static_cast<int>(pool.response_rules) << '\n';
-    const Membership& m = pool.membership;
-    out << "source " << static_cast<int>(m.source) << ' ' << m.file << ' ' << m.discovery << '\n';
+    const Membership& membership = pool.membership;
+    out << "source " << static_cast<int>(membership.source) << ' ' << membership.file << ' '
+        << membership.discovery << '\n';
     pool.definition = out.str();
   }
 
-  std::optional<std::string> HostPattern(std::string text) {
-    const bool suffix = text.starts_with("*.");
+  std::optional<std::string> ParseHostPattern(std::string text) {
+    const bool is_suffix = text.starts_with("*.");
     std::string error;
-    const auto authority = routing::ParseAuthority(suffix ? text.substr(2) : text, error);
+    const auto authority = routing::ParseAuthority(is_suffix ? text.substr(2) : text, error);
     if (!authority || authority->host.empty() || authority->port ||
-        authority->host.find('*') != std::string::npos || (suffix && authority->host[0] == '[')) {
+        authority->host.find('*') != std::string::npos || (is_suffix && authority->host[0] == '[')) {
       return std::nullopt;
     }
-    return (suffix ? "*." : "") + authority->host;
+    return (is_suffix ? "*." : "") + authority->host;
   }
 
-  void AddPaths(TableReader& f, const char* key, bool prefix, routing::Route& match) {
-    for (const std::string& text : f.Strings(key)) {
+  void ReadPaths(TableReader& reader, const char* key, bool is_prefix, routing::Route& match) {
+    for (const std::string& text : reader.Strings(key)) {
       std::string error;
       auto path = routing::NormalizePath(text, error);
       if (!path) {
-        f.AddInvalid(key, "a path (" + error + ")");
+        reader.AddInvalid(key, "a path (" + error + ")");
         continue;
       }
-      if (prefix && path->ends_with('/')) path->pop_back();  // "/a/" and "/a" are one prefix, "/" is all
-      match.paths.push_back({prefix, std::move(*path)});
+      if (is_prefix && path->ends_with('/')) path->pop_back();  // "/a/" and "/a" are one prefix, "/" is all
+      match.paths.push_back({is_prefix, std::move(*path)});
     }
   }
 
-  void ReadRoute(TableReader& f) {
+  void ReadRoute(TableReader& reader) {
     RouteRule rule;
     routing::Route& match = rule.match;
-    match.id = TakeId(f, "route", /*needed=*/false);
+    match.id = ReadUniqueId(reader, "route", /*is_required=*/false);
     if (match.id.empty()) match.id = "route-" + std::to_string(services_.routes.size() + 1);
-    for (std::string& text : f.Strings("host")) {
-      if (auto pattern = HostPattern(text)) {
+    for (std::string& text : reader.Strings("host")) {
+      if (auto pattern = ParseHostPattern(text)) {
         match.hosts.push_back(std::move(*pattern));
       } else {
-        f.AddInvalid("host", "a host's name without a port, or \"*.\" and the end of one");
+        reader.AddInvalid("host", "a host's name without a port, or \"*.\" and the end of one");
       }
     }
-    AddPaths(f, "path", false, match);
-    AddPaths(f, "prefix", true, match);
-    match.methods = Methods(f);
-    for (const toml::table* const table : f.Tables("header")) {
-      TableReader h(*table, f.PathOf("header"), issues_);
+    ReadPaths(reader, "path", false, match);
+    ReadPaths(reader, "prefix", true, match);
+    match.methods = ReadMethods(reader);
+    for (const toml::table* const table : reader.Tables("header")) {
+      TableReader header_reader(*table, reader.PathOf("header"), issues_);
       routing::HeaderCondition condition;
-      condition.name = h.Required("name", h.String("name"), "a header's name");
-      if (h.Has("name") && !IsToken(condition.name)) h.AddInvalid("name", "a header's name");
-      if (auto value = h.String("equals")) {
+      condition.name = header_reader.Required("name", header_reader.String("name"), "a header's name");
+      if (header_reader.Has("name") && !IsToken(condition.name))
+        header_reader.AddInvalid("name", "a header's name");
+      if (auto value = header_reader.String("equals")) {
         condition.kind = routing::HeaderCondition::Kind::kEquals;
         condition.value = *value;
       }
-      if (const auto present = h.Flag("present")) {
-        if (h.Has("equals")) h.AddIssue("present", "a condition has either equals or present");
+      if (const auto present = header_reader.Flag("present")) {
+        if (header_reader.Has("equals"))
+          header_reader.AddIssue("present", "a condition has either equals or present");
         condition.kind =
             *present ? routing::HeaderCondition::Kind::kPresent : routing::HeaderCondition::Kind::kAbsent;
       }
       match.headers.push_back(std::move(condition));
     }
-    match.listeners = f.Strings("listener");
+    match.listeners = reader.Strings("listener");
     for (const std::string& name : match.listeners) {
-      const bool known = std::any_of(services_.listeners.begin(), services_.listeners.end(),
-                                     [&](const Listener& l) { return l.id == name; });
-      if (!known)
-        f.AddInvalid("listener", OneOf(services_.listeners, [](const Listener& l) { return l.id; }));
+      const bool exists = std::any_of(services_.listeners.begin(), services_.listeners.end(),
+                                      [&](const Listener& l) { return l.id == name; });
+      if (!exists)
+        reader.AddInvalid("listener",
+                          FormatChoices(services_.listeners, [](const Listener& l) { return l.id; }));
     }
-    match.classes = f.Strings("stated_class");
+    match.classes = reader.Strings("stated_class");
     for (const std::string& name : match.classes) {
-      if (ClassIndex(name) < 0) f.AddInvalid("stated_class", ClassNames());
+      if (ClassIndex(name) < 0) reader.AddInvalid("stated_class", ClassNames());
     }
     if (!match.classes.empty() && services_.headers.class_name.empty()) {
-      f.AddIssue("stated_class",
-                 "clients state no class unless request.class_header names the header that holds it");
+      reader.AddIssue("stated_class",
+                      "clients state no class unless request.class_header names the header that holds it");
     }
-    ReadRouteTarget(f, rule);
-    places_.push_back({f.at(), f.PathOf("")});
+    ReadRouteTarget(reader, rule);
+    route_locations_.push_back({reader.at(), reader.PathOf("")});
     services_.routes.push_back(std::move(rule));
   }
 
-  void ReadRouteTarget(TableReader& f, RouteRule& rule) {
-    const auto pool = f.String("pool");
+  void ReadRouteTarget(TableReader& reader, RouteRule& rule) {
+    const auto pool = reader.String("pool");
     const auto found = std::find_if(services_.pools.begin(), services_.pools.end(),
                                     [&](const Pool& p) { return pool && p.id == *pool; });
-    if (!pool && !f.Has("pool")) f.AddMissing("pool", "the id of a pool");
+    if (!pool && !reader.Has("pool")) reader.AddMissing("pool", "the id of a pool");
     if (pool && found == services_.pools.end()) {
-      f.AddInvalid("pool", "the id of a pool, " + OneOf(services_.pools, [](const Pool& p) { return p.id; }));
+      reader.AddInvalid(
+          "pool", "the id of a pool, " + FormatChoices(services_.pools, [](const Pool& p) { return p.id; }));
     }
     rule.pool =
         found == services_.pools.end() ? 0 : static_cast<std::size_t>(found - services_.pools.begin());
-    const auto name = f.String("class");
+    const auto name = reader.String("class");
     if (name) {
       rule.class_index = ClassIndex(*name);
-      if (rule.class_index < 0) f.AddInvalid("class", "the id of a class, " + ClassNames());
-    } else if (!f.Has("class") && services_.headers.class_name.empty()) {
-      f.AddMissing("class",
-                   "the id of a class, as request.class_header names no header by which clients state it");
+      if (rule.class_index < 0) reader.AddInvalid("class", "the id of a class, " + ClassNames());
+    } else if (!reader.Has("class") && services_.headers.class_name.empty()) {
+      reader.AddMissing(
+          "class", "the id of a class, as request.class_header names no header by which clients state it");
     }
     if (rule.class_index < 0 || rule.match.methods.empty()) return;
-    const ServiceClass& c = services_.classes[static_cast<std::size_t>(rule.class_index)];
+    const ServiceClass& service_class = services_.classes[static_cast<std::size_t>(rule.class_index)];
     for (const std::string& method : rule.match.methods) {
-      if (!c.methods.empty() && std::find(c.methods.begin(), c.methods.end(), method) == c.methods.end()) {
-        f.AddIssue("methods", "class " + Quoted(c.settings.name) + " does not come by " + method +
-                                  "; name its methods in the class if it does");
+      const std::vector<std::string>& allowed = service_class.methods;
+      if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), method) == allowed.end()) {
+        reader.AddIssue("methods", "class " + Quote(service_class.settings.name) + " does not come by " +
+                                       method + "; name its methods in the class if it does");
       }
     }
   }
@@ -519,17 +548,18 @@
       clients += p.clients.guaranteed;
       memory += p.body_memory.guaranteed;
     }
-    const auto check = [&](std::uint64_t sum, double part, double all, const char* what, const char* of) {
-      const auto most = static_cast<std::uint64_t>(part * all);
-      if (sum <= most) return;
+    const auto check = [&](std::uint64_t sum, double fraction, double total, const char* what,
+                           const char* of) {
+      const auto max = static_cast<std::uint64_t>(fraction * total);
+      if (sum <= max) return;
       top.AddIssue("pool", "the pools' guaranteed " + std::string(what) + " add up to " +
-                               std::to_string(sum) + ", expected at most " + std::to_string(most) + ", " +
-                               of);
+                               std::to_string(sum) + ", expected at most " + std::to_string(max) + ", " + of);
     };
-    const auto all = static_cast<double>(services_.descriptors);
-    check(descriptors, 0.4, all, "descriptors", "40% of process.descriptors");
-    check(clients, 0.5, all, "clients", "half of process.descriptors");
-    check(memory, kBodyPart, static_cast<double>(services_.memory), "body_memory", "15% of process.memory");
+    const auto descriptors_total = static_cast<double>(services_.descriptors);
+    check(descriptors, 0.4, descriptors_total, "descriptors", "40% of process.descriptors");
+    check(clients, 0.5, descriptors_total, "clients", "half of process.descriptors");
+    check(memory, kBodyMemoryFraction, static_cast<double>(services_.memory_bytes), "body_memory",
+          "15% of process.memory");
   }
 
   // Of a file with other faults too: what the routes lead to does not matter here.
@@ -538,11 +568,12 @@
     for (const RouteRule& rule : services_.routes) routes.push_back(rule.match);
     services_.table = routing::RouteTable(std::move(routes));
     for (std::size_t i = 0; i < services_.routes.size(); ++i) {
-      const auto by = services_.table.ShadowedBy(i);
-      if (!by) continue;
-      issues_.Add(places_[i].first, "route." + services_.routes[i].match.id,
-                  "can't be reached: route " + Quoted(services_.routes[*by].match.id) + " in line " +
-                      std::to_string(places_[*by].first.begin.line) + " takes all that it could take");
+      const auto shadowing = services_.table.ShadowedBy(i);
+      if (!shadowing) continue;
+      issues_.Add(route_locations_[i].first, "route." + services_.routes[i].match.id,
+                  "can't be reached: route " + Quote(services_.routes[*shadowing].match.id) + " in line " +
+                      std::to_string(route_locations_[*shadowing].first.begin.line) +
+                      " takes all that it could take");
     }
   }
 
@@ -551,16 +582,16 @@
   const std::string folder_;
   int gateways_ = 1, index_ = -1;
   std::string zone_;
-  std::map<std::string, unsigned> ids_;
-  std::map<std::string, std::string> nodes_;  // ids by address
-  std::vector<std::pair<toml::source_region, std::string>> places_;
+  std::map<std::string, unsigned> lines_by_id_;
+  std::map<std::string, std::string> node_ids_by_address_;
+  std::vector<std::pair<toml::source_region, std::string>> route_locations_;
 };
 
 }  // namespace
 
 int Strictness(Effect effect) { return effect == Effect::kSafe ? 0 : effect == Effect::kKeyed ? 1 : 2; }
 
-std::string Issue::ToText() const {
+std::string Issue::ToString() const {
   std::string text = file;
   if (line > 0) text += ":" + std::to_string(line) + ":" + std::to_string(column);
   text += ": ";
@@ -579,7 +610,7 @@
     issues.Add(parsed.error().source(), "", what);
     return {nullptr, std::move(issues.list)};
   }
-  Reader(*services, issues, folder).Read(parsed.table());
+  ServicesReader(*services, issues, folder).Read(parsed.table());
   if (issues.list.empty()) return {services, {}};
   std::stable_sort(issues.list.begin(), issues.list.end(), [](const Issue& a, const Issue& b) {
     return std::pair(a.line, a.column) < std::pair(b.line, b.column);
@@ -588,11 +619,11 @@
 }
 
 ParsedServices LoadServices(const std::string& path) {
-  constexpr std::size_t kMostFile = 32 << 20;
+  constexpr std::size_t kMaxFileBytes = 32 << 20;
   std::ifstream stream(path, std::ios::binary);
   std::string text(std::istreambuf_iterator<char>(stream), {});
   if (!stream.good() && !stream.eof()) return {nullptr, {{path, 0, 0, "", "can't be read"}}};
-  if (text.size() > kMostFile) return {nullptr, {{path, 0, 0, "", "larger than 32 MiB"}}};
+  if (text.size() > kMaxFileBytes) return {nullptr, {{path, 0, 0, "", "larger than 32 MiB"}}};
   const std::size_t slash = path.rfind('/');
   return ParseServices(text, path, slash == std::string::npos ? "" : path.substr(0, slash));
 }
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -30,7 +30,7 @@
   unsigned line = 0, column = 0;
   std::string field;  // "pool.baskets.limits.queue"; empty for the syntax
   std::string text;   // with the value found and what was expected
-  std::string ToText() const;
+  std::string ToString() const;
 };
 
 struct Listener {
@@ -47,7 +47,8 @@
 
 struct Tenant {
   std::string id;
-  double share = 0;  // requests a second within its share, in each pool that says nothing else; 0 = unmetered
+  double quota_per_s =
+      0;  // requests a second within its share, in each pool that says nothing else; 0 = unmetered
 };
 
 struct Membership {
@@ -101,7 +102,7 @@
 struct Services {
   std::string file;
   std::size_t descriptors = 1024;
-  std::uint64_t memory = 128 << 20;
+  std::uint64_t memory_bytes = 128 << 20;
   bool watches_file = false;  // follow changes of the file itself
   std::string health_path;    // by which GET asks whether the gateway is ready; empty = none
   bool reports_cause = true;  // the gateway's own refusals and failures say why
--- a/src/config/toml_reader.hpp
+++ b/src/config/toml_reader.hpp
@@ -48,10 +48,10 @@
   // Each reads one field. Absent: nothing, without an issue. Wrong: nothing, with one.
   std::optional<std::string> String(std::string_view key);
   std::optional<std::string> Name(std::string_view key);  // letters, digits, '.', '_', '-'; 64 at most
-  std::optional<double> Number(std::string_view key, double least, double most);
-  std::optional<std::int64_t> Integer(std::string_view key, std::int64_t least, std::int64_t most);
+  std::optional<double> Number(std::string_view key, double min, double max);
+  std::optional<std::int64_t> Integer(std::string_view key, std::int64_t min, std::int64_t max);
   std::optional<bool> Flag(std::string_view key);
-  std::optional<Millis> Duration(std::string_view key, bool zero = false);
+  std::optional<Millis> Duration(std::string_view key, bool allow_zero = false);
   std::optional<std::uint64_t> Size(std::string_view key);
   std::optional<boost::asio::ip::tcp::endpoint> Address(std::string_view key);
   // The place of the text in `choices`.
@@ -79,12 +79,12 @@
   const toml::source_region& at() const { return table_.source(); }
 
  private:
-  const toml::node* Get(std::string_view key);
+  const toml::node* Find(std::string_view key);
 
   const toml::table& table_;
   const std::string path_;
   Issues& issues_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> known_keys_;
 };
 
 // The text of a value as the file has it, shortened, for messages.
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -30,7 +30,8 @@
 
 // Idle connections are closed for want of places alone: no front counts them here, as the platform's does.
 ClientLimits LimitsOf(const config::Services& services) {
-  ClientLimits limits = LimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
+  ClientLimits limits =
+      LimitsFor(services.descriptors, static_cast<double>(services.memory_bytes) / (1 << 20));
   limits.usual = limits.sessions;
   return limits;
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -26,8 +26,8 @@
 };
 
 struct PathCondition {
-  bool prefix = false;  // on segment borders: "/a" takes "/a" and "/a/b", never "/ab"
-  std::string text;     // in normal form; a prefix without a last slash, "" takes every path
+  bool is_prefix = false;  // on segment borders: "/a" takes "/a" and "/a/b", never "/ab"
+  std::string text;        // in normal form; a prefix without a last slash, "" takes every path
   bool operator==(const PathCondition&) const = default;
 };
 
@@ -67,66 +67,71 @@
   std::optional<std::size_t> ShadowedBy(std::size_t i) const;
 
  private:
-  using Places = std::vector<std::uint32_t>;  // rising
-  struct ByHeader {
+  using RouteIndexes = std::vector<std::uint32_t>;  // rising
+  struct HeaderIndex {
     std::string name;
-    std::unordered_map<std::string, Places> values;
+    std::unordered_map<std::string, RouteIndexes> values;
   };
   // Routes that ask for a class or for a header's value, found by it.
-  struct Special {
-    std::unordered_map<std::string, Places> by_class;
-    std::vector<ByHeader> by_header;
+  struct ConditionIndex {
+    std::unordered_map<std::string, RouteIndexes> by_class;
+    std::vector<HeaderIndex> by_header;
   };
   // The routes of one host pattern and one path pattern, by what else they ask for. Small, and with its texts
   // in one block with all others': a look-up in a large table waits for memory more than for anything else.
   struct Bucket {
-    std::uint32_t host = 0;
-    std::uint32_t text = 0;  // where its path begins in texts_
-    std::uint32_t length = 0;
-    std::uint32_t plain = 0, plain_end = 0;  // in places_, once compiled
-    std::uint32_t special = 0;               // in specials_, from 1; 0 = none
-    bool prefix = false;
+    std::uint32_t host_id = 0;
+    std::uint32_t path_offset = 0;  // where its path begins in path_text_
+    std::uint32_t path_length = 0;
+    std::uint32_t scan_begin = 0, scan_end = 0;  // in scanned_routes_, once compiled
+    std::uint32_t condition_index = 0;           // in condition_indexes_, from 1; 0 = none
+    bool is_prefix = false;
   };
   // Open addressing over a power of two of slots.
-  struct Index {
+  struct HashIndex {
     struct Slot {
       std::uint32_t hash = 0;
       std::uint32_t item = 0;  // from 1; 0 = empty
     };
     std::vector<Slot> slots = std::vector<Slot>(16);
     std::size_t used = 0;
-    template <typename Is>
-    std::uint32_t Find(std::uint64_t hash, Is is) const;  // 0 if there is none
+    template <typename Matches>
+    std::uint32_t Find(std::uint64_t hash, Matches matches) const;  // 0 if there is none
     void Add(std::uint64_t hash, std::uint32_t item);
   };
   // Host patterns by their text; a host's id is its item.
-  struct Names {
-    Index index;
+  struct HostPatternIndex {
+    HashIndex index;
     std::vector<std::string> texts;  // by item - 1
     std::vector<std::uint32_t> ids;
     std::uint32_t Find(std::string_view name) const;  // 0 if there is none
   };
 
-  const Bucket* Find(std::uint64_t hash, std::uint32_t host, bool prefix, std::string_view path) const;
-  using Texts = std::unordered_map<std::string, std::uint32_t>;  // paths, and where they begin in texts_
-  std::uint32_t Add(std::uint32_t host, bool prefix, const std::string& path, Texts& texts);
-  std::string_view TextOf(const Bucket& bucket) const { return {texts_.data() + bucket.text, bucket.length}; }
+  const Bucket* FindBucket(std::uint64_t hash, std::uint32_t host_id, bool is_prefix,
+                           std::string_view path) const;
+  using PathOffsets =
+      std::unordered_map<std::string, std::uint32_t>;  // paths, and where they begin in path_text_
+  std::uint32_t AddBucket(std::uint32_t host_id, bool is_prefix, const std::string& path,
+                          PathOffsets& offsets);
+  std::string_view PathOf(const Bucket& bucket) const {
+    return {path_text_.data() + bucket.path_offset, bucket.path_length};
+  }
   // Calls `visit` with each bucket whose host and path patterns take these.
   template <typename Visit>
-  void ForEach(std::string_view host, std::string_view path, bool exact, Visit visit) const;
-  bool Rest(std::uint32_t place, const Request& request) const;
+  void ForEachBucket(std::string_view host, std::string_view path, bool with_exact, Visit visit) const;
+  bool MeetsOtherConditions(std::uint32_t route_index, const Request& request) const;
 
   std::vector<Route> routes_;
   std::vector<std::string> header_names_;
-  std::vector<char> asks_;  // by route: whether it has conditions beside host and path
-  Names exact_, suffix_;    // host patterns; host 0 is "any"
-  Index index_;             // of the buckets
+  std::vector<char> has_other_conditions_;       // by route: whether it has conditions beside host and path
+  HostPatternIndex exact_hosts_, suffix_hosts_;  // host patterns; host 0 is "any"
+  HashIndex bucket_index_;                       // of the buckets
   std::vector<Bucket> buckets_;
-  std::string texts_;
-  Places places_;
-  std::vector<Special> specials_;
-  std::vector<std::uint32_t> depth_;  // by host: segments of its longest prefix
-  std::vector<char> any_path_;        // by host: whether it has the prefix ""
+  std::string path_text_;
+  RouteIndexes scanned_routes_;
+  std::vector<ConditionIndex> condition_indexes_;
+  std::vector<std::uint32_t> max_prefix_depth_;  // by host: segments of its longest prefix
+  std::vector<char> has_empty_prefix_;           // by host: whether it has the prefix ""
 };
 
 }  // namespace opalswitch::routing
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -14,24 +14,24 @@
 
 // What each byte may be in RFC 3986, by one look: this is done for every byte of every request's target and
 // Host.
-enum Kind : unsigned char { kUnreserved = 1, kSubDelim = 2, kSegment = 4 };  // kSegment: ":" and "@"
-constexpr std::array<unsigned char, 256> Kinds() {
-  std::array<unsigned char, 256> kinds{};
+enum CharClass : unsigned char { kUnreserved = 1, kSubDelim = 2, kPathOnly = 4 };  // kPathOnly: ":" and "@"
+constexpr std::array<unsigned char, 256> MakeCharClasses() {
+  std::array<unsigned char, 256> classes{};
   for (int c = 0; c < 256; ++c) {
     const bool letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
     if (letter || c == '-' || c == '.' || c == '_' || c == '~')
-      kinds[static_cast<std::size_t>(c)] = kUnreserved;
+      classes[static_cast<std::size_t>(c)] = kUnreserved;
   }
-  for (const char c : std::string_view("!$&'()*+,;=")) kinds[static_cast<unsigned char>(c)] = kSubDelim;
-  kinds[':'] = kinds['@'] = kSegment;
-  return kinds;
+  for (const char c : std::string_view("!$&'()*+,;=")) classes[static_cast<unsigned char>(c)] = kSubDelim;
+  classes[':'] = classes['@'] = kPathOnly;
+  return classes;
 }
-constexpr std::array<unsigned char, 256> kKinds = Kinds();
-unsigned KindOf(char c) { return kKinds[static_cast<unsigned char>(c)]; }
-bool IsUnreserved(char c) { return KindOf(c) == kUnreserved; }
-bool IsNamePart(char c) { return (KindOf(c) & (kUnreserved | kSubDelim)) != 0; }
+constexpr std::array<unsigned char, 256> kCharClasses = MakeCharClasses();
+unsigned CharClassOf(char c) { return kCharClasses[static_cast<unsigned char>(c)]; }
+bool IsUnreserved(char c) { return CharClassOf(c) == kUnreserved; }
+bool IsRegNameChar(char c) { return (CharClassOf(c) & (kUnreserved | kSubDelim)) != 0; }
 // pchar of RFC 3986, without the percent sign.
-bool IsPlain(char c) { return KindOf(c) != 0; }
+bool IsPathChar(char c) { return CharClassOf(c) != 0; }
 
 int HexValue(char c) {
   if (IsDigit(c)) return c - '0';
@@ -41,23 +41,23 @@
 }
 
 // The byte that a code at `i` stands for; -1 if there is no whole code.
-int CodeAt(std::string_view text, std::size_t i) {
+int DecodePercentAt(std::string_view text, std::size_t i) {
   if (text[i] != '%' || i + 2 >= text.size()) return -1;
   const int high = HexValue(text[i + 1]), low = HexValue(text[i + 2]);
   return high < 0 || low < 0 ? -1 : high * 16 + low;
 }
 
-void AppendCode(std::string& out, unsigned char byte) {
+void AppendPercentEncoded(std::string& out, unsigned char byte) {
   constexpr char kHex[] = "0123456789ABCDEF";
   out += '%';
   out += kHex[byte >> 4];
   out += kHex[byte & 15];
 }
 
-std::string Shown(char c) {
+std::string FormatChar(char c) {
   if (c >= ' ' && c <= '~') return std::string("'") + c + "'";
   std::string code = "byte ";
-  AppendCode(code, static_cast<unsigned char>(c));
+  AppendPercentEncoded(code, static_cast<unsigned char>(c));
   return code;
 }
 
@@ -74,20 +74,20 @@
     if (length == 0 || i + length > text.size()) return false;
     for (std::size_t k = 1; k < length; ++k) {
       const auto next = static_cast<unsigned char>(text[i + k]);
-      const unsigned char least = k > 1 ? 0x80 : lead == 0xE0 ? 0xA0 : lead == 0xF0 ? 0x90 : 0x80;
-      const unsigned char most = k > 1 ? 0xBF : lead == 0xED ? 0x9F : lead == 0xF4 ? 0x8F : 0xBF;
-      if (next < least || next > most) return false;
+      const unsigned char min = k > 1 ? 0x80 : lead == 0xE0 ? 0xA0 : lead == 0xF0 ? 0x90 : 0x80;
+      const unsigned char max = k > 1 ? 0xBF : lead == 0xED ? 0x9F : lead == 0xF4 ? 0x8F : 0xBF;
+      if (next < min || next > max) return false;
     }
     i += length;
   }
   return true;
 }
 
-std::string Decoded(std::string_view text) {
+std::string PercentDecode(std::string_view text) {
   std::string out;
   out.reserve(text.size());
   for (std::size_t i = 0; i < text.size(); ++i) {
-    const int code = CodeAt(text, i);
+    const int code = DecodePercentAt(text, i);
     out += code < 0 ? text[i] : static_cast<char>(code);
     if (code >= 0) i += 2;
   }
@@ -95,47 +95,47 @@
 }
 
 // Takes out repeated slashes and dot segments, and keeps what says that the last segment is a folder.
-std::string WithoutDots(std::string_view path) {
+std::string RemoveDotSegments(std::string_view path) {
   std::string out;
   out.reserve(path.size());
   std::size_t at = 0;
-  bool folder = false;
+  bool ends_in_slash = false;
   while (at < path.size()) {
     const std::size_t begin = at + 1;  // `at` is a slash
     const std::size_t end = std::min(path.find('/', begin), path.size());
     const std::string_view segment = path.substr(begin, end - begin);
-    folder = segment.empty() || segment == "." || segment == "..";
+    ends_in_slash = segment.empty() || segment == "." || segment == "..";
     if (segment == "..") {
       out.erase(std::min(out.rfind('/'), out.size()));
-    } else if (!folder) {
+    } else if (!ends_in_slash) {
       out += '/';
       out += segment;
     }
     at = end;
   }
-  if (out.empty() || folder) out += '/';
+  if (out.empty() || ends_in_slash) out += '/';
   return out;
 }
 
-bool CheckQuery(std::string_view query, std::string& error) {
+bool ValidateQuery(std::string_view query, std::string& error) {
   for (std::size_t i = 0; i < query.size(); ++i) {
     const char c = query[i];
     if (c == '%') {
-      if (CodeAt(query, i) < 0)
+      if (DecodePercentAt(query, i) < 0)
         return error = "a percent sign in the query is not followed by two hex digits", false;
       i += 2;
-    } else if (!IsPlain(c) && c != '/' && c != '?') {
-      return error = Shown(c) + " does not belong in a query", false;
+    } else if (!IsPathChar(c) && c != '/' && c != '?') {
+      return error = FormatChar(c) + " does not belong in a query", false;
     }
   }
   return true;
 }
 
-bool TakePath(std::string_view text, Target& target, std::string& error) {
-  const std::size_t mark = std::min(text.find('?'), text.size());
-  target.query = text.substr(mark);
-  if (!target.query.empty() && !CheckQuery(text.substr(mark + 1), error)) return false;
-  const std::string_view path = text.substr(0, mark);
+bool ParsePathAndQuery(std::string_view text, Target& target, std::string& error) {
+  const std::size_t query_begin = std::min(text.find('?'), text.size());
+  target.query = text.substr(query_begin);
+  if (!target.query.empty() && !ValidateQuery(text.substr(query_begin + 1), error)) return false;
+  const std::string_view path = text.substr(0, query_begin);
   auto normal = NormalizePath(path, error);
   if (!normal) return false;
   target.is_normalized = *normal == path;
@@ -154,75 +154,78 @@
 std::optional<std::string> NormalizePath(std::string_view path, std::string& error) {
   if (path.empty() || path[0] != '/') return error = "a path begins with a slash", std::nullopt;
   // Nearly all paths are in their normal form.
-  bool usual = true;
-  for (std::size_t i = 0; i < path.size() && usual; ++i) {
+  bool is_plainly_normal = true;
+  for (std::size_t i = 0; i < path.size() && is_plainly_normal; ++i) {
     const char c = path[i];
-    usual = c == '/' ? i + 1 == path.size() || (path[i + 1] != '/' && path[i + 1] != '.') : IsPlain(c);
+    is_plainly_normal =
+        c == '/' ? i + 1 == path.size() || (path[i + 1] != '/' && path[i + 1] != '.') : IsPathChar(c);
   }
-  if (usual) return std::string(path);
-  std::string coded;
-  coded.reserve(path.size());
-  bool any = false, slow = false;
+  if (is_plainly_normal) return std::string(path);
+  std::string normalized;
+  normalized.reserve(path.size());
+  bool has_percent_codes = false, has_dots_or_slashes = false;
   for (std::size_t i = 0; i < path.size(); ++i) {
     const char c = path[i];
     if (c != '%') {
-      if (!IsPlain(c) && c != '/') return error = Shown(c) + " does not belong in a path", std::nullopt;
-      slow = slow || ((c == '.' || c == '/') && i > 0 && path[i - 1] == '/');
-      coded += c;
+      if (!IsPathChar(c) && c != '/')
+        return error = FormatChar(c) + " does not belong in a path", std::nullopt;
+      has_dots_or_slashes = has_dots_or_slashes || ((c == '.' || c == '/') && i > 0 && path[i - 1] == '/');
+      normalized += c;
       continue;
     }
-    const int code = CodeAt(path, i);
+    const int code = DecodePercentAt(path, i);
     if (code < 0) return error = "a percent sign in the path is not followed by two hex digits", std::nullopt;
     if (code < 0x20 || code == 0x7F) return error = "the path holds a coded control character", std::nullopt;
-    any = true;
+    has_percent_codes = true;
     if (IsUnreserved(static_cast<char>(code))) {
-      coded += static_cast<char>(code);
+      normalized += static_cast<char>(code);
     } else {
-      AppendCode(coded, static_cast<unsigned char>(code));
+      AppendPercentEncoded(normalized, static_cast<unsigned char>(code));
     }
     i += 2;
   }
-  if (any && !IsUtf8(Decoded(path))) return error = "the path's percent codes are no UTF-8", std::nullopt;
-  return any || slow ? WithoutDots(coded) : std::move(coded);
+  if (has_percent_codes && !IsUtf8(PercentDecode(path)))
+    return error = "the path's percent codes are no UTF-8", std::nullopt;
+  return has_percent_codes || has_dots_or_slashes ? RemoveDotSegments(normalized) : std::move(normalized);
 }
 
 std::vector<std::string> AlternativeReadings(std::string_view path) {
   std::vector<std::string> readings;
   if (path.find_first_of("%;") == std::string_view::npos) return readings;
   const auto add = [&](std::string decoded) {
-    std::string coded;
+    std::string normalized;
     for (const char c : decoded) {
-      if (IsPlain(c) || c == '/') {
-        coded += c;
+      if (IsPathChar(c) || c == '/') {
+        normalized += c;
       } else {
-        AppendCode(coded, static_cast<unsigned char>(c));
+        AppendPercentEncoded(normalized, static_cast<unsigned char>(c));
       }
     }
-    std::string reading = WithoutDots(coded);
+    std::string reading = RemoveDotSegments(normalized);
     if (reading != path && std::find(readings.begin(), readings.end(), reading) == readings.end()) {
       readings.push_back(std::move(reading));
     }
   };
-  std::string decoded = Decoded(path);
+  std::string decoded = PercentDecode(path);
   add(decoded);
   std::replace(decoded.begin(), decoded.end(), '\\', '/');
-  std::string bare;
-  bool parameter = false;
+  std::string without_parameters;
+  bool in_parameter = false;
   for (const char c : decoded) {
-    parameter = c != '/' && (parameter || c == ';');
-    if (!parameter) bare += c;
+    in_parameter = c != '/' && (in_parameter || c == ';');
+    if (!in_parameter) without_parameters += c;
   }
-  add(bare);
+  add(without_parameters);
   // Some take the parameters off before they decode.
-  std::string first;
-  parameter = false;
+  std::string decoded_last;
+  in_parameter = false;
   for (const char c : path) {
-    parameter = c != '/' && (parameter || c == ';');
-    if (!parameter) first += c;
+    in_parameter = c != '/' && (in_parameter || c == ';');
+    if (!in_parameter) decoded_last += c;
   }
-  first = Decoded(first);
-  std::replace(first.begin(), first.end(), '\\', '/');
-  add(first);
+  decoded_last = PercentDecode(decoded_last);
+  std::replace(decoded_last.begin(), decoded_last.end(), '\\', '/');
+  add(decoded_last);
   return readings;
 }
 
@@ -247,7 +250,7 @@
   } else {
     end = std::min(text.find(':'), text.size());
     for (const char c : text.substr(0, end)) {
-      if (!IsNamePart(c)) return error = Shown(c) + " does not belong in a host's name", std::nullopt;
+      if (!IsRegNameChar(c)) return error = FormatChar(c) + " does not belong in a host's name", std::nullopt;
       authority.host += IsAlpha(c) ? static_cast<char>(c | 0x20) : c;
     }
     if (authority.host.size() > 1 && authority.host.back() == '.') authority.host.pop_back();
@@ -287,7 +290,7 @@
   }
   if (text.empty()) return error = "the request-target is empty", std::nullopt;
   if (text[0] == '/') {
-    if (!TakePath(text, target, error)) return std::nullopt;
+    if (!ParsePathAndQuery(text, target, error)) return std::nullopt;
     return target;
   }
   const std::size_t colon = text.find("://");
@@ -301,8 +304,8 @@
   if (authority->host.empty()) return error = "an http URI names a host", std::nullopt;  // RFC 9110 4.2.1
   target.authority = *authority;
   const std::string_view path = rest.substr(end);
-  if (!TakePath(path.empty() || path[0] != '/' ? "/" + std::string(path) : std::string(path), target,
-                error)) {
+  if (!ParsePathAndQuery(path.empty() || path[0] != '/' ? "/" + std::string(path) : std::string(path), target,
+                         error)) {
     return std::nullopt;
   }
   return target;
--- a/src/xds/control.cpp
+++ b/src/xds/control.cpp
@@ -231,7 +231,7 @@
     const auto found = pool.told.find(endpoint.id);
     if (found != pool.told.end()) {
       const Assigned& before = found->second;
-      if (!Differs(before, endpoint, services_->control.threshold)) continue;
+      if (!Differs(before, endpoint, services_->control.weight_change_fraction)) continue;
       urgent = urgent || before.address != endpoint.address || before.port != endpoint.port ||
                (before.standing != Standing::kDraining && endpoint.standing == Standing::kDraining);
       was[endpoint.id] = before;
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -107,7 +107,7 @@
   };
   std::vector<Path> paths;
   for (const routing::PathCondition& path : match.paths) {
-    if (!path.prefix) {
+    if (!path.is_prefix) {
       paths.push_back({false, path.text});
     } else if (path.text.empty()) {
       paths.push_back({true, "/"});
@@ -122,7 +122,7 @@
     for (const std::string& method : match.methods.empty() ? any : match.methods) {
       for (const std::string& cls : match.classes.empty() ? any : match.classes) {
         route::Route* const to = host->add_routes();
-        if (path.prefix) {
+        if (path.is_prefix) {
           to->mutable_match()->set_prefix(path.text);
         } else {
           to->mutable_match()->set_path(path.text);
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -88,7 +88,7 @@
     text += "[[pool.host]]\naddress = \"" + ToText(hosts.back()->peer.address()) + "\"\n";
   }
   auto parsed = config::ParseServices(text, "test.toml", "");
-  ASSERT_TRUE(parsed.services) << parsed.issues.front().ToText();
+  ASSERT_TRUE(parsed.services) << parsed.issues.front().ToString();
   gateway::ServiceGateway gateway(io, parsed.services, 7);
   // One host in turn is gone for 0.3 s of each second.
   asio::steady_timer turn(io);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -254,7 +254,7 @@
     return host.size() > end.size() && host.compare(host.size() - end.size(), end.size(), end) == 0;
   };
   const auto takes_path = [&](const routing::PathCondition& p) {
-    return path == p.text || (p.prefix && path.compare(0, p.text.size() + 1, p.text + "/") == 0);
+    return path == p.text || (p.is_prefix && path.compare(0, p.text.size() + 1, p.text + "/") == 0);
   };
   const auto takes_header = [&](const HeaderCondition& c) {
     const auto found = std::find_if(request.headers.begin(), request.headers.end(),
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -50,7 +50,7 @@
 
 std::shared_ptr<const config::Services> Parsed(const std::string& text) {
   auto parsed = config::ParseServices(text, "test.toml", "");
-  for (const config::Issue& issue : parsed.issues) ADD_FAILURE() << issue.ToText();
+  for (const config::Issue& issue : parsed.issues) ADD_FAILURE() << issue.ToString();
   return parsed.services;
 }
 
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -28,7 +28,7 @@
 
 std::string Said(const config::ParsedServices& parsed) {
   std::string text;
-  for (const config::Issue& issue : parsed.issues) text += issue.ToText() + "\n";
+  for (const config::Issue& issue : parsed.issues) text += issue.ToString() + "\n";
   return text;
 }
 
@@ -148,7 +148,7 @@
     EXPECT_FALSE(parsed.services);
     bool told = false;
     for (const config::Issue& issue : parsed.issues) {
-      const std::string text = issue.ToText();
+      const std::string text = issue.ToString();
       told = told || (text.starts_with(fault.expected) && text.find(fault.word) != std::string::npos);
       EXPECT_EQ(text.find('\n'), std::string::npos) << text;
     }
--- a/tests/services_text.hpp
+++ b/tests/services_text.hpp
@@ -39,7 +39,7 @@
 // A file that must be good.
 inline std::shared_ptr<const config::Services> Parsed(const std::string& text) {
   const auto parsed = config::ParseServices(text, "f", "");
-  for (const config::Issue& issue : parsed.issues) ADD_FAILURE() << issue.ToText();
+  for (const config::Issue& issue : parsed.issues) ADD_FAILURE() << issue.ToString();
   return parsed.services;
 }
 
