--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -9,28 +9,30 @@
 namespace opalswitch::config {
 namespace {
 
+// Adds an issue if one of `names` is not an id that the file defines.
 void CheckNames(TableReader& reader, const char* key, const std::vector<std::string>& names,
                 const std::vector<std::string>& known) {
   for (const std::string& name : names) {
     if (std::find(known.begin(), known.end(), name) != known.end()) continue;
-    std::string expected = "ids that the file has:";
+    std::string expected = "ids defined in the file:";
     for (std::size_t i = 0; i < known.size() && i < 8; ++i) expected += " \"" + known[i] + "\"";
     return reader.AddInvalid(key, expected + (known.size() > 8 ? " ..." : ""));
   }
 }
 
+// Adds an issue if a pattern has a '*' anywhere but at its end.
 void CheckPatterns(TableReader& reader, const char* key, const std::vector<std::string>& patterns) {
   for (const std::string& pattern : patterns) {
     const std::size_t star = pattern.find('*');
     if (star != std::string::npos && star + 1 != pattern.size())
-      return reader.AddInvalid(key, "names, or beginnings of names with one '*' at their end");
+      return reader.AddInvalid(key, "names, or prefixes of names followed by a single '*'");
   }
 }
 
 ControlGroup ReadGroup(TableReader& reader, const std::vector<std::string>& pools,
                        const std::vector<std::string>& listeners) {
   ControlGroup group;
-  group.id = reader.Required("id", reader.Name("id"), "a name for the group");
+  group.id = reader.Required("id", reader.Name("id"), "an id for the group");
   group.node_ids = reader.Strings("node_ids");
   group.node_clusters = reader.Strings("node_clusters");
   group.zones = reader.Strings("zones");
@@ -44,19 +46,19 @@
   group.grpc_clients = reader.Flag("grpc_clients").value_or(false);
   group.each_endpoint = reader.Flag("each_endpoint").value_or(false);
   if (group.grpc_clients && group.each_endpoint)
-    reader.AddIssue("each_endpoint", "gRPC's clients know endpoints in whole lists alone");
+    reader.AddIssue("each_endpoint", "gRPC clients do not support endpoints as separate resources (LEDS)");
   return group;
 }
 
 ControlTls ReadTls(TableReader& reader, const std::string& folder) {
   ControlTls tls;
-  tls.certificate =
-      ResolvePath(folder, reader.Required("certificate", reader.String("certificate"), "a file in PEM"));
-  tls.key = ResolvePath(folder, reader.Required("key", reader.String("key"), "a file in PEM"));
+  tls.certificate = ResolvePath(
+      folder, reader.Required("certificate", reader.String("certificate"), "the path of a PEM file"));
+  tls.key = ResolvePath(folder, reader.Required("key", reader.String("key"), "the path of a PEM file"));
   tls.client_authority = ResolvePath(folder, reader.String("client_authority").value_or(""));
   tls.client_names = reader.Strings("client_names");
   if (!tls.client_names.empty() && tls.client_authority.empty())
-    reader.AddIssue("client_names", "names can be checked only with a client_authority beside them");
+    reader.AddIssue("client_names", "client names can be checked only if client_authority is set as well");
   return tls;
 }
 
@@ -87,10 +89,10 @@
   control.weight_change_fraction = reader.Number("threshold", 0, 10).value_or(control.weight_change_fraction);
   if (control.heartbeat * 2 > control.lease)
     reader.AddIssue(reader.Has("heartbeat") ? "heartbeat" : "lease",
-                    "a lease must last for two heartbeats at the least");
+                    "a lease must last for at least two heartbeats");
   if (control.lease > 450)
-    reader.AddInvalid("lease",
-                      "450ms at most: a drain must hold within 500ms for a proxy that can't be told");
+    reader.AddInvalid(
+        "lease", "450ms at most: a drain must take effect within 500ms at a proxy that can't be reached");
   if (const auto* const table = reader.Table("tls")) {
     TableReader tls_reader(*table, reader.PathOf("tls"), issues);
     control.tls = ReadTls(tls_reader, folder);
@@ -98,7 +100,8 @@
   control.plaintext_anywhere = reader.Flag("plaintext_anywhere").value_or(false);
   if (address && !control.tls && !control.plaintext_anywhere && !address->address().is_loopback()) {
     reader.AddInvalid(
-        "address", "a loopback address, for there is no [control.tls]; plaintext_anywhere = true allows it");
+        "address",
+        "a loopback address, as there is no [control.tls]; plaintext_anywhere = true allows any address");
   }
   std::set<std::string> ids;
   for (const toml::table* const table : reader.Tables("group")) {
@@ -108,9 +111,11 @@
     TableReader group_reader(*table, name, issues);
     control.groups.push_back(ReadGroup(group_reader, pools, listeners));
     if (!ids.insert(control.groups.back().id).second)
-      group_reader.AddInvalid("id", "one that no earlier group has");
+      group_reader.AddInvalid("id", "an id that no earlier group has");
   }
-  if (control.groups.size() > 1000) reader.AddIssue("group", "more than 1000 of them");
+  if (control.groups.size() > 1000)
+    reader.AddIssue("group",
+                    "found " + std::to_string(control.groups.size()) + " groups, expected at most 1000");
   return control;
 }
 
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -17,12 +17,15 @@
 constexpr std::size_t kMaxListeners = 64;
 constexpr std::size_t kMaxPools = 256;
 constexpr std::size_t kMaxRoutes = 100000;
-constexpr std::uint64_t kMaxConfigurableBodyBytes = 16 << 20;  // bodies are held whole
+// Bodies are buffered whole.
+constexpr std::uint64_t kMaxConfigurableBodyBytes = 16 << 20;
 constexpr std::uint64_t kDefaultMaxBodyBytes = 64 << 10;
 constexpr double kDefaultLateWorth = 0.5;
-constexpr double kBodyMemoryFraction = 0.15;  // of the memory: bodies are held twice while they are passed on
+// Part of process.memory that bodies may take. A body is in memory twice while it is forwarded.
+constexpr double kBodyMemoryFraction = 0.15;
 
-bool IsToken(std::string_view text) {  // RFC 9110 5.6.2
+// RFC 9110 section 5.6.2.
+bool IsToken(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
            (c != '\0' && std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos);
@@ -31,10 +34,10 @@
 
 std::string Quote(std::string_view text) { return "\"" + std::string(text) + "\""; }
 
-// "cold, warm or hot"
+// For messages: 'one of "a" "b"', with the first eight names.
 template <typename List, typename Name>
 std::string FormatChoices(const List& list, Name name) {
-  if (list.empty()) return "nothing: the file has none";
+  if (list.empty()) return "one that the file defines, but it defines none";
   std::string text = "one of";
   std::size_t listed = 0;
   for (const auto& item : list) {
@@ -44,6 +47,7 @@
   return text;
 }
 
+// Fills a Services value from the parsed file, and collects the issues.
 class ServicesReader {
  public:
   ServicesReader(Services& services, Issues& issues, std::string folder)
@@ -66,10 +70,10 @@
       services_.control = ReadControl(reader, issues_, pools, listeners, folder_);
     }
     for (const auto& [list, expected] : std::initializer_list<std::pair<const char*, const char*>>{
-             {"listener", "a [[listener]] with an address to listen at"},
-             {"class", "a [[class]] of requests"},
-             {"pool", "a [[pool]] of hosts"},
-             {"route", "a [[route]] that leads to a pool"}}) {
+             {"listener", "at least one [[listener]] with an address to listen on"},
+             {"class", "at least one [[class]] of requests"},
+             {"pool", "at least one [[pool]] of hosts"},
+             {"route", "at least one [[route]] to a pool"}}) {
       if (!top.Has(list)) top.AddMissing(list, expected);
     }
     CheckGuarantees(top);
@@ -80,9 +84,12 @@
   template <typename ReadOne>
   void ReadEach(TableReader& top, const char* key, std::size_t max, ReadOne read) {
     const auto tables = top.Tables(key);
-    if (tables.size() > max) return top.AddIssue(key, "more than " + std::to_string(max) + " of them");
+    if (tables.size() > max) {
+      return top.AddIssue(
+          key, "found " + std::to_string(tables.size()) + " tables, expected at most " + std::to_string(max));
+    }
     for (std::size_t i = 0; i < tables.size(); ++i) {
-      // Named by its id as far as there is one: a place in a list is hard to count to.
+      // Issues name a table by its id where it has one; an index is hard to find in a long file.
       std::string name = std::string(key) + "[" + std::to_string(i) + "]";
       if (const auto* const id = tables[i]->get_as<std::string>("id"))
         name = std::string(key) + "." + id->get();
@@ -91,7 +98,7 @@
     }
   }
 
-  // An id that no other of its kind has.
+  // Reads the id and checks that no other table of this kind has it. Empty if it is absent or not valid.
   std::string ReadUniqueId(TableReader& reader, const char* kind, bool is_required = true) {
     auto id = reader.Name("id");
     if (!id) {
@@ -102,7 +109,7 @@
         lines_by_id_.try_emplace(std::string(kind) + " " + *id, reader.at().begin.line);
     if (!added) {
       reader.AddIssue("id", "found " + Quote(*id) + ", which the " + kind + " in line " +
-                                std::to_string(entry->second) + " has already, expected an id of its own");
+                                std::to_string(entry->second) + " has already, expected a unique id");
     }
     return *id;
   }
@@ -118,7 +125,7 @@
     std::string error;
     if (!services_.health_path.empty() &&
         routing::NormalizePath(services_.health_path, error) != services_.health_path) {
-      reader.AddInvalid("health_path", "a path in its normal form, such as \"/up\"");
+      reader.AddInvalid("health_path", "a normalized path, such as \"/up\"");
     }
     gateways_ = static_cast<int>(reader.Integer("gateways", 1, 100000).value_or(1));
     index_ = static_cast<int>(reader.Integer("index", 0, 99999).value_or(-1));
@@ -138,7 +145,7 @@
                                                                      {"deadline_header", &headers.deadline},
                                                                      {"retry_header", &headers.retry}}) {
       *target = reader.String(key).value_or("");
-      if (!target->empty() && !IsToken(*target)) reader.AddInvalid(key, "a header's name");
+      if (!target->empty() && !IsToken(*target)) reader.AddInvalid(key, "the name of a header");
     }
   }
 
@@ -146,10 +153,10 @@
     Listener listener;
     listener.id = ReadUniqueId(reader, "listener");
     listener.address =
-        reader.Required("address", reader.Address("address"), "an IP address and port to listen at");
+        reader.Required("address", reader.Address("address"), "an IP address and port to listen on");
     for (const Listener& other : services_.listeners) {
       if (listener.address.port() != 0 && other.address == listener.address) {
-        reader.AddInvalid("address", "one that listener " + Quote(other.id) + " does not have");
+        reader.AddInvalid("address", "an address other than that of listener " + Quote(other.id));
       }
     }
     services_.listeners.push_back(listener);
@@ -159,7 +166,7 @@
     auto methods = reader.Strings("methods");
     for (const std::string& method : methods) {
       if (!IsToken(method) || method == "CONNECT" || method == "TRACE") {
-        reader.AddInvalid("methods", "HTTP methods, in capitals; CONNECT and TRACE are never passed on");
+        reader.AddInvalid("methods", "HTTP methods in upper case; CONNECT and TRACE are never forwarded");
         break;
       }
     }
@@ -174,24 +181,24 @@
         "effect", reader.Choice("effect", {"safe", "keyed", "unsafe"}), "\"safe\", \"keyed\" or \"unsafe\""));
     if (!reader.Has("effect")) settings.effect = Effect::kUnsafe;
     settings.aim = reader.Required("aim", reader.Duration("aim"),
-                                   "a time with its unit: an answer within it is in time");
+                                   "a duration with its unit: the latency target of the class");
     settings.deadline = reader.Required("deadline", reader.Duration("deadline"),
-                                        "a time with its unit: a client's whole patience");
+                                        "a duration with its unit: the time after which a client gives up");
     if (settings.aim > 0 && settings.deadline > 0 && settings.aim > settings.deadline)
-      reader.AddInvalid("aim", "a time no longer than the deadline");
+      reader.AddInvalid("aim", "a duration no longer than the deadline");
     settings.worth = reader.Number("worth", 0, 1e6).value_or(1);
-    // A client that waits to its deadline gets an answer until then, unless the operators say it is worth
-    // nothing.
+    // By default an answer between the aim and the deadline has some worth, as the client still waits for it.
     settings.late_worth = reader.Number("late_worth", 0, 1).value_or(kDefaultLateWorth);
     settings.group =
         static_cast<DeduplicationScope>(reader.Choice("group", {"all", "zone", "cell"}).value_or(0));
     settings.repeat_window = reader.Duration("repeat_window", true).value_or(0);
     if (settings.effect == Effect::kKeyed && settings.repeat_window <= 0 && !reader.Has("repeat_window")) {
       reader.AddMissing("repeat_window",
-                        "a time with its unit: how long hosts drop repeats of a keyed request");
+                        "a duration with its unit: how long hosts drop repeats of a keyed request");
     }
     if (settings.effect != Effect::kKeyed && (reader.Has("group") || reader.Has("repeat_window"))) {
-      reader.AddIssue(reader.Has("group") ? "group" : "repeat_window", "only a keyed class has one");
+      reader.AddIssue(reader.Has("group") ? "group" : "repeat_window",
+                      "applies only to a class whose effect is \"keyed\"");
     }
     service_class.methods = ReadMethods(reader);
     if (service_class.methods.empty() && settings.effect == Effect::kSafe)
@@ -228,7 +235,7 @@
     share.guaranteed = amount("guaranteed");
     share.max = amount("most");
     if (share.max > 0 && share.max < share.guaranteed)
-      share_reader.AddInvalid("most", "no less than what is guaranteed");
+      share_reader.AddInvalid("most", "at least as much as is guaranteed");
     return share;
   }
 
@@ -250,10 +257,11 @@
                               ? ServerState::kUp
                               : ServerState::kDraining;
       if (!seen.insert(host.server.id).second) {
-        host_reader.AddIssue(host_reader.Has("id") ? "id" : "address",
-                             "found " + Quote(host.server.id) + " a second time in this pool");
+        host_reader.AddIssue(
+            host_reader.Has("id") ? "id" : "address",
+            "found " + Quote(host.server.id) + " twice in this pool, expected a unique host");
       }
-      // One node has one id in all pools: a drain that one of them is told of reaches it in the others.
+      // A node has the same id in all pools, as a drain reported by one pool applies to the node in all.
       const auto [known, added] = node_ids_by_address_.try_emplace(address, host.server.id);
       if (!added && known->second != host.server.id && host_reader.Has("address")) {
         host_reader.AddIssue("address",
@@ -274,8 +282,9 @@
                                  "\"static\", \"file\" or \"discovery\"");
       membership.source = static_cast<Membership::Source>(source);
       if (membership.source == Membership::Source::kFile)
-        membership.file = ResolvePath(folder_, source_reader.Required("file", source_reader.String("file"),
-                                                                      "the path of a list of hosts"));
+        membership.file =
+            ResolvePath(folder_, source_reader.Required("file", source_reader.String("file"),
+                                                        "the path of a JSON file with the list of hosts"));
       if (membership.source == Membership::Source::kDiscovery) {
         membership.discovery = source_reader.Required("address", source_reader.Address("address"),
                                                       "the IP address and port of a discovery service");
@@ -286,8 +295,7 @@
         reader.AddMissing("host",
                           "a [[pool.host]] with an address, or a [pool.membership] that names a source");
     } else if (reader.Has("host")) {
-      reader.AddIssue("host",
-                      "hosts are listed in the file only where the membership's source is \"static\"");
+      reader.AddIssue("host", "only a pool whose membership source is \"static\" lists its hosts here");
     }
     ReadHosts(reader, pool);
   }
@@ -303,11 +311,11 @@
       in_flight = limits_reader.Integer("in_flight", 1, 1000000).value_or(0);
       queue = limits_reader.Integer("queue", 0, 1000000).value_or(-1);
       if (limits_reader.Has("queue") && in_flight == 0)
-        limits_reader.AddIssue("queue", "a bound on the queue needs in_flight beside it");
+        limits_reader.AddIssue("queue", "a limit on the queue needs in_flight to be set as well");
       pool.limits.requests_per_s = limits_reader.Number("requests_per_second", 0.001, 1e9).value_or(0);
       pool.limits.burst = limits_reader.Number("burst", 1, 1e9).value_or(0);
       if (limits_reader.Has("burst") && pool.limits.requests_per_s == 0)
-        limits_reader.AddIssue("burst", "a burst needs requests_per_second beside it");
+        limits_reader.AddIssue("burst", "a burst needs requests_per_second to be set as well");
       pool.refusal_reads_per_s =
           limits_reader.Number("refused_per_second", 1, 1e9).value_or(pool.refusal_reads_per_s);
       pool.max_request_bytes = std::min(limits_reader.Size("request_body").value_or(kDefaultMaxBodyBytes),
@@ -346,10 +354,11 @@
     settings.load_report_fields = reader.Strings("load_report");
     if (const auto* const table = reader.Table("cold")) {
       TableReader cold_reader(*table, reader.PathOf("cold"), issues_);
-      settings.cold_capacity_fraction = cold_reader.Required(
-          "from", cold_reader.Number("from", 0.001, 1), "the part of its work that a started host can do");
+      settings.cold_capacity_fraction =
+          cold_reader.Required("from", cold_reader.Number("from", 0.001, 1),
+                               "the fraction of its full load that a newly started host can take");
       settings.warm_up_time = cold_reader.Required("for", cold_reader.Duration("for"),
-                                                   "the time until a started host can do all of it");
+                                                   "the duration of a started host's warm-up, with its unit");
       settings.overload_multiple = cold_reader.Number("fall_multiple", 0.1, 1000).value_or(3);
       if (!(settings.cold_capacity_fraction > 0)) settings.cold_capacity_fraction = 1;
     }
@@ -375,12 +384,13 @@
       const auto wanted = static_cast<Effect>(*effect);
       if (Strictness(wanted) < Strictness(class_settings.effect)) {
         effects_reader.AddInvalid(
-            name, "what is no looser than the class itself, which says \"" +
+            name, "an effect no looser than that of the class, which is \"" +
                       std::string(class_settings.effect == Effect::kUnsafe ? "unsafe" : "keyed") + "\"");
         continue;
       }
       if (wanted == Effect::kKeyed && class_settings.effect == Effect::kSafe) {
-        effects_reader.AddInvalid(name, "\"unsafe\": a safe class has no window in which hosts drop repeats");
+        effects_reader.AddInvalid(
+            name, "\"unsafe\": a safe class has no repeat_window in which hosts drop repeats");
         continue;
       }
       class_settings.effect = wanted;
@@ -403,7 +413,8 @@
     }
   }
 
-  // Everything that a running pool can't take over without starting anew. The static hosts are not of it.
+  // Writes the settings that a running pool can't change to pool.definition. The static hosts are left out,
+  // as a running pool takes over new ones.
   static void SetDefinition(Pool& pool) {
     std::ostringstream out;
     out.precision(17);
@@ -433,6 +444,7 @@
     pool.definition = out.str();
   }
 
+  // Normalizes "name" or "*.name". Nothing if the text is neither, or has a port.
   std::optional<std::string> ParseHostPattern(std::string text) {
     const bool is_suffix = text.starts_with("*.");
     std::string error;
@@ -452,7 +464,8 @@
         reader.AddInvalid(key, "a path (" + error + ")");
         continue;
       }
-      if (is_prefix && path->ends_with('/')) path->pop_back();  // "/a/" and "/a" are one prefix, "/" is all
+      if (is_prefix && path->ends_with('/'))
+        path->pop_back();  // "/a/" and "/a" are the same prefix; "/" matches all
       match.paths.push_back({is_prefix, std::move(*path)});
     }
   }
@@ -466,7 +479,7 @@
       if (auto pattern = ParseHostPattern(text)) {
         match.hosts.push_back(std::move(*pattern));
       } else {
-        reader.AddInvalid("host", "a host's name without a port, or \"*.\" and the end of one");
+        reader.AddInvalid("host", "a host name without a port, or \"*.\" and a domain");
       }
     }
     ReadPaths(reader, "path", false, match);
@@ -475,16 +488,16 @@
     for (const toml::table* const table : reader.Tables("header")) {
       TableReader header_reader(*table, reader.PathOf("header"), issues_);
       routing::HeaderCondition condition;
-      condition.name = header_reader.Required("name", header_reader.String("name"), "a header's name");
+      condition.name = header_reader.Required("name", header_reader.String("name"), "the name of a header");
       if (header_reader.Has("name") && !IsToken(condition.name))
-        header_reader.AddInvalid("name", "a header's name");
+        header_reader.AddInvalid("name", "the name of a header");
       if (auto value = header_reader.String("equals")) {
         condition.kind = routing::HeaderCondition::Kind::kEquals;
         condition.value = *value;
       }
       if (const auto present = header_reader.Flag("present")) {
         if (header_reader.Has("equals"))
-          header_reader.AddIssue("present", "a condition has either equals or present");
+          header_reader.AddIssue("present", "a header condition has either equals or present, not both");
         condition.kind =
             *present ? routing::HeaderCondition::Kind::kPresent : routing::HeaderCondition::Kind::kAbsent;
       }
@@ -504,7 +517,7 @@
     }
     if (!match.classes.empty() && services_.headers.class_name.empty()) {
       reader.AddIssue("stated_class",
-                      "clients state no class unless request.class_header names the header that holds it");
+                      "clients can state a class only if request.class_header names the header for it");
     }
     ReadRouteTarget(reader, rule);
     route_locations_.push_back({reader.at(), reader.PathOf("")});
@@ -528,19 +541,21 @@
       if (rule.class_index < 0) reader.AddInvalid("class", "the id of a class, " + ClassNames());
     } else if (!reader.Has("class") && services_.headers.class_name.empty()) {
       reader.AddMissing(
-          "class", "the id of a class, as request.class_header names no header by which clients state it");
+          "class", "the id of a class, as there is no request.class_header by which clients could state it");
     }
     if (rule.class_index < 0 || rule.match.methods.empty()) return;
     const ServiceClass& service_class = services_.classes[static_cast<std::size_t>(rule.class_index)];
     for (const std::string& method : rule.match.methods) {
       const std::vector<std::string>& allowed = service_class.methods;
       if (!allowed.empty() && std::find(allowed.begin(), allowed.end(), method) == allowed.end()) {
-        reader.AddIssue("methods", "class " + Quote(service_class.settings.name) + " does not come by " +
-                                       method + "; name its methods in the class if it does");
+        reader.AddIssue("methods", "class " + Quote(service_class.settings.name) +
+                                       " does not allow the method " + method +
+                                       "; add it to the methods of the class if it should");
       }
     }
   }
 
+  // Checks that the pools' guarantees leave enough of each budget to share.
   void CheckGuarantees(TableReader& top) {
     std::uint64_t descriptors = 0, clients = 0, memory = 0;
     for (const Pool& p : services_.pools) {
@@ -562,7 +577,8 @@
           "15% of process.memory");
   }
 
-  // Of a file with other faults too: what the routes lead to does not matter here.
+  // Compiles the route table and finds routes that no request can reach. This works on a file with other
+  // issues too, as it doesn't depend on the routes' pools and classes.
   void CheckRoutes() {
     std::vector<routing::Route> routes;
     for (const RouteRule& rule : services_.routes) routes.push_back(rule.match);
@@ -573,7 +589,7 @@
       issues_.Add(route_locations_[i].first, "route." + services_.routes[i].match.id,
                   "can't be reached: route " + Quote(services_.routes[*shadowing].match.id) + " in line " +
                       std::to_string(route_locations_[*shadowing].first.begin.line) +
-                      " takes all that it could take");
+                      " matches every request that it matches");
     }
   }
 
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -1,9 +1,10 @@
-// The operators' file (TOML), parsed and checked: one immutable value, from which a gateway for several
-// services is built. Its form is told in docs/operators/services.md. No I/O here: the text comes from the
-// caller.
+// The operators' file (TOML): its in-memory form, and the functions that read and check it.
 //
-// Durations are milliseconds, sizes bytes. Everything that names something else (a route its pool, a pool its
-// classes) has been checked to exist.
+// Parsing gives one immutable `Services` value, from which a gateway for several services is built, or the
+// list of all issues in the file. Every name that refers to something else (the pool of a route, the classes
+// of a pool) has been checked to exist. Durations are in milliseconds, sizes in bytes.
+//
+// ParseServices does no I/O; LoadServices reads the file.
 #ifndef OPALSWITCH_CONFIG_SERVICES_HPP_
 #define OPALSWITCH_CONFIG_SERVICES_HPP_
 
@@ -24,12 +25,14 @@
 
 namespace opalswitch::config {
 
-// One thing that is wrong, and where. Lines and columns count from 1; 0 = the file as a whole.
+// An error in the operators' file and its position. Lines and columns count from 1; line 0 stands for the
+// file as a whole.
 struct Issue {
   std::string file;
   unsigned line = 0, column = 0;
-  std::string field;  // "pool.baskets.limits.queue"; empty for the syntax
-  std::string text;   // with the value found and what was expected
+  std::string field;  // path of the field, such as "pool.baskets.limits.queue"; empty for a syntax error
+  std::string text;   // the value found and what was expected instead
+  // "file:line:column: field: text", without the parts that are unknown.
   std::string ToString() const;
 };
 
@@ -39,73 +42,74 @@
   bool operator==(const Listener&) const = default;
 };
 
-// A class of requests, with its effect said once for all pools.
+// A class of requests. Its effect holds in all pools; a pool may set a stricter one for its own requests.
 struct ServiceClass {
   ClassSettings settings;
-  std::vector<std::string> methods;  // that it may come by; empty = any
+  std::vector<std::string> methods;  // HTTP methods that its requests may use; empty = any
 };
 
 struct Tenant {
   std::string id;
-  double quota_per_s =
-      0;  // requests a second within its share, in each pool that says nothing else; 0 = unmetered
+  double quota_per_s = 0;  // requests a second, in each pool that sets no other quota; 0 = unlimited
 };
 
 struct Membership {
   enum class Source { kStatic, kFile, kDiscovery };
   Source source = Source::kStatic;
   std::vector<gateway::Host> hosts;          // kStatic
-  std::string file;                          // kFile: its path
-  boost::asio::ip::tcp::endpoint discovery;  // kDiscovery
+  std::string file;                          // kFile: path of the list of hosts
+  boost::asio::ip::tcp::endpoint discovery;  // kDiscovery: address of the discovery service
 };
 
-// Part of a budget that all pools share.
+// A pool's share of a budget that all pools use: descriptors, client connections or bytes.
 struct BudgetShare {
   std::uint64_t guaranteed = 0;
-  std::uint64_t max = 0;  // 0 = whatever is free
+  std::uint64_t max = 0;  // 0 = no limit but the budget itself
   bool operator==(const BudgetShare&) const = default;
 };
 
-// What an answer of a pool's hosts means.
+// How the status codes of a pool's hosts are interpreted.
 enum class ResponseRules {
-  kPlain,     // below 500: served, whatever it says. 5xx: an error, which may have run
-  kPlatform,  // 200: served. Else an error; 503 and 504 with Srv-Declined never ran
+  kPlain,     // below 500: served. 5xx: an error; the request may have run
+  kPlatform,  // 200: served. Any other: an error; 503 and 504 with Srv-Declined mean that it did not run
 };
 
 struct Pool {
   std::string id;
   Membership membership;
-  Settings settings;  // of its module: classes with the pool's own effects, tenants with its shares
+  Settings settings;  // for its decision module: classes with the pool's effects, tenants with its quotas
   limits::PoolLimits limits;
-  double refusal_reads_per_s = 250;  // connections that were turned away, read from again each second
+  // Connections whose last request was refused or failed are read from again at this rate, together.
+  double refusal_reads_per_s = 250;
   BudgetShare descriptors, clients, body_memory;
-  std::uint64_t max_request_bytes = 0, max_response_bytes = 0;
+  std::uint64_t max_request_bytes = 0, max_response_bytes = 0;  // bytes of body
   Millis dial_timeout = 0, idle_timeout = 0;
   ResponseRules response_rules = ResponseRules::kPlain;
-  bool strict_drain = false;  // proxies that forkwick-control can't tell of a drain stop using the pool
-  std::string
-      definition;  // all but the static hosts, as one text: pools with equal ones are kept at a reload
+  bool strict_drain = false;  // forkwick-control: a proxy that can't be told of a drain stops using the pool
+  // The settings that can't change while the pool runs, as text; the static hosts are not among them. A
+  // reload keeps each running pool whose text is unchanged.
+  std::string definition;
 };
 
 struct RouteRule {
   routing::Route match;
-  std::size_t pool = 0;
-  int class_index = -1;  // that its requests belong to; -1 = the one that the client states
+  std::size_t pool = 0;  // index in Services::pools
+  int class_index = -1;  // index in Services::classes; -1 = the class that the client states
 };
 
-// Headers that tell of a request; empty = clients don't tell.
+// Names of the request headers that carry a request's attributes; empty = clients do not send the attribute.
 struct RequestHeaders {
   std::string id, class_name, tenant, key, deadline, retry;
   bool operator==(const RequestHeaders&) const = default;
 };
 
 struct Services {
-  std::string file;
-  std::size_t descriptors = 1024;
-  std::uint64_t memory_bytes = 128 << 20;
-  bool watches_file = false;  // follow changes of the file itself
-  std::string health_path;    // by which GET asks whether the gateway is ready; empty = none
-  bool reports_cause = true;  // the gateway's own refusals and failures say why
+  std::string file;                        // the path that issues and logs name
+  std::size_t descriptors = 1024;          // file descriptors that the process may use
+  std::uint64_t memory_bytes = 128 << 20;  // memory that the process may use
+  bool watches_file = false;               // reload when the file changes
+  std::string health_path;                 // path of the readiness check (GET); empty = none
+  bool reports_cause = true;               // refusals and failures carry their cause in a header
   RequestHeaders headers;
   ControlSettings control;
   std::vector<Listener> listeners;
@@ -113,7 +117,7 @@
   std::vector<Tenant> tenants;
   std::vector<Pool> pools;
   std::vector<RouteRule> routes;
-  routing::RouteTable table;  // of the routes, in their order
+  routing::RouteTable table;  // compiled from `routes`, with the same indexes
 };
 
 struct ParsedServices {
@@ -121,13 +125,15 @@
   std::vector<Issue> issues;                 // all that were found, in the order of the file
 };
 
-// `file` is told in issues; paths in the text are taken from `folder` unless they are absolute.
+// Parses and checks `text`. `file` is the name used in issues; relative paths in the text are resolved
+// against `folder`.
 ParsedServices ParseServices(std::string_view text, const std::string& file, const std::string& folder);
 
-// Reads and parses a file. One that can't be read is an issue like any other.
+// Reads and parses a file. A file that can't be read, or is larger than 32 MiB, gives an issue.
 ParsedServices LoadServices(const std::string& path);
 
-// How strict an effect is: what is stricter may be resent in fewer cases.
+// Rank of an effect: 0 for safe, 1 for keyed, 2 for unsafe. The higher it is, the fewer cases there are in
+// which a request may be retried.
 int Strictness(Effect effect);
 
 }  // namespace opalswitch::config
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -11,7 +11,7 @@
 namespace opalswitch::config {
 namespace {
 
-// Changes that turn one word into the other (Levenshtein).
+// Levenshtein distance.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -103,7 +103,7 @@
   const toml::node* const node = Find(key);
   if (node == nullptr) return std::nullopt;
   const auto* const text = node->as_string();
-  if (text == nullptr) return AddInvalid(key, "a text in quotes"), std::nullopt;
+  if (text == nullptr) return AddInvalid(key, "a string in quotes"), std::nullopt;
   return text->get();
 }
 
@@ -156,7 +156,7 @@
   const auto* const text = node->as_string();
   const auto value = text == nullptr ? std::nullopt : ParseDuration(text->get());
   if (!value || (*value <= 0 && !allow_zero) || *value > 24 * 3600000.0) {
-    return AddInvalid(key, std::string("a time with its unit, such as \"250ms\" or \"1.5s\", ") +
+    return AddInvalid(key, std::string("a duration with its unit, such as \"250ms\" or \"1.5s\", ") +
                                (allow_zero ? "up to a day" : "above 0 and up to a day")),
            std::nullopt;
   }
@@ -210,7 +210,7 @@
   const bool is_valid =
       array != nullptr && !array->empty() &&
       std::all_of(array->begin(), array->end(), [](const toml::node& item) { return item.is_string(); });
-  if (!is_valid) return AddInvalid(key, "a text or a list of texts, not empty"), texts;
+  if (!is_valid) return AddInvalid(key, "a string or a non-empty list of strings"), texts;
   for (const toml::node& item : *array) texts.push_back(item.as_string()->get());
   return texts;
 }
@@ -218,7 +218,7 @@
 const toml::table* TableReader::Table(std::string_view key) {
   const toml::node* const node = Find(key);
   if (node == nullptr) return nullptr;
-  if (!node->is_table()) AddInvalid(key, "a table, as [" + PathOf(key) + "] begins one");
+  if (!node->is_table()) AddInvalid(key, "a table, [" + PathOf(key) + "]");
   return node->as_table();
 }
 
@@ -230,7 +230,7 @@
   const bool is_valid =
       array != nullptr &&
       std::all_of(array->begin(), array->end(), [](const toml::node& item) { return item.is_table(); });
-  if (!is_valid) return AddInvalid(key, "tables, as [[" + PathOf(key) + "]] begins one"), tables;
+  if (!is_valid) return AddInvalid(key, "an array of tables, [[" + PathOf(key) + "]]"), tables;
   for (const toml::node& item : *array) tables.push_back(item.as_table());
   return tables;
 }
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -125,7 +125,7 @@
       {"[[route]]\nid = \"r\"\npool = \"one\"\npath = \"/x\"\n", "f.toml:17:1: route.r.class: missing",
        "class_header"},
       {"[[route]]\nid = \"r\"\npool = \"one\"\nclass = \"view\"\npath = \"/x\"\nmethods = [\"POST\"]\n",
-       "f.toml:22:11: route.r.methods: ", "does not come by POST"},
+       "f.toml:22:11: route.r.methods: ", "does not allow the method POST"},
       {"[[route]]\nid = \"r\"\npool = \"one\"\nclass = \"view\"\npath = \"x\"\n",
        "f.toml:21:8: route.r.path: found \"x\"", "begins with a slash"},
       {"[[route]]\nid = \"r\"\npool = \"one\"\nclass = \"view\"\nhost = \"ex.org:80\"\n",
