--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -247,7 +247,7 @@
       gateway::Host host;
       host.address =
           host_reader.Required("address", host_reader.Address("address"), "the host's IP address and port");
-      const std::string address = gateway::ToText(host.address);
+      const std::string address = gateway::FormatEndpoint(host.address);
       host.server.id = host_reader.Name("id").value_or(address);
       host.server.zone = host_reader.String("zone").value_or("");
       host.server.kind = host_reader.String("kind").value_or("");
@@ -330,7 +330,7 @@
       pool.clients = ReadBudgetShare(limits_reader, "clients", false);
       pool.body_memory = ReadBudgetShare(limits_reader, "body_memory", true);
     }
-    if (in_flight > 0 && queue >= 0) pool.limits.held = static_cast<std::size_t>(in_flight + queue);
+    if (in_flight > 0 && queue >= 0) pool.limits.max_active = static_cast<std::size_t>(in_flight + queue);
     pool.dial_timeout = 250;
     pool.idle_timeout = 15000;
     if (const auto* const table = reader.Table("timeouts")) {
@@ -430,8 +430,8 @@
         << ' ' << settings.warm_up_time << ' ' << settings.overload_multiple << ' '
         << settings.clients_mark_retries << '\n';
     for (const std::string& field : settings.load_report_fields) out << "report " << field << '\n';
-    out << "gate " << pool.limits.requests_per_s << ' ' << pool.limits.burst << ' ' << pool.limits.held << ' '
-        << pool.refusal_reads_per_s << '\n';
+    out << "gate " << pool.limits.requests_per_s << ' ' << pool.limits.burst << ' ' << pool.limits.max_active
+        << ' ' << pool.refusal_reads_per_s << '\n';
     for (const BudgetShare* const p : {&pool.descriptors, &pool.clients, &pool.body_memory}) {
       out << "portion " << p->guaranteed << ' ' << p->max << '\n';
     }
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -10,7 +10,7 @@
 #include "base/clock.hpp"
 #include "config/units.hpp"
 #include "gateway/descriptors.hpp"
-#include "http/platform_call.hpp"
+#include "http/platform_request.hpp"
 #include "routing/route_table.hpp"
 
 namespace opalswitch::gateway {
@@ -29,8 +29,8 @@
 void Say(const std::string& text) { std::fprintf(stderr, "forkwick: %s\n", text.c_str()); }
 
 // Idle connections are closed for want of places alone: no front counts them here, as the platform's does.
-ClientLimits LimitsOf(const config::Services& services) {
-  ClientLimits limits =
+HttpServerLimits LimitsOf(const config::Services& services) {
+  HttpServerLimits limits =
       LimitsFor(services.descriptors, static_cast<double>(services.memory_bytes) / (1 << 20));
   limits.usual = limits.sessions;
   return limits;
@@ -56,16 +56,16 @@
       : id(from.id),
         definition(from.definition),
         gate(from.limits),
-        pacer(std::make_shared<limits::Pacer>(from.refusal_reads_per_s, kMostPause)) {}
+        pacer(std::make_shared<limits::ReadThrottle>(from.refusal_reads_per_s, kMostPause)) {}
 
   const std::string id;
   const std::string definition;
   NodeRegistry::PoolId number = 0;
-  limits::PoolGate gate;
-  const std::shared_ptr<limits::Pacer> pacer;
-  limits::SharedBudget::Party descriptors = 0, places = 0, bodies = 0;
+  limits::RequestLimiter gate;
+  const std::shared_ptr<limits::ReadThrottle> pacer;
+  limits::SharedBudget::ParticipantId descriptors = 0, places = 0, bodies = 0;
   std::shared_ptr<Pool> pool;
-  std::unique_ptr<Source> source;
+  std::unique_ptr<HostSource> source;
   bool retired = false;
 };
 
@@ -75,9 +75,9 @@
       : gateway(owner), alive(owner.alive_), member(std::move(of)) {}
   ~Ticket() {
     if (alive.expired()) return;
-    member->gate.Leave();
-    gateway.places_.Give(member->places);
-    if (body > 0) gateway.bodies_.Give(member->bodies, body);
+    member->gate.Release();
+    gateway.places_.Release(member->places);
+    if (body > 0) gateway.bodies_.Release(member->bodies, body);
     if (member->retired) gateway.Sweep();
   }
   Ticket(const Ticket&) = delete;
@@ -97,19 +97,19 @@
       bodies_(0),
       clients_(io, LimitsOf(*services),
                {[this] {
-                  const auto listed = [](const auto& member) { return member->pool->listed(); };
+                  const auto listed = [](const auto& member) { return member->pool->has_hosts(); };
                   return snapshot_ && !stop_.begun() &&
                          std::any_of(snapshot_->members.begin(), snapshot_->members.end(), listed);
                 },
-                [this](const HttpRequest& head, const routing::Target& target, const Origin& origin,
-                       Call& call) { return Admit(head, target, origin, call); },
+                [this](const HttpRequest& head, const routing::Target& target, const RequestOrigin& origin,
+                       ClientRequest& call) { return Admit(head, target, origin, call); },
                 [this] { return snapshot_->services->reports_cause; }},
                services->health_path),
       stop_(io, clients_, [this] {
-        for (const auto& member : snapshot_->members) member->pool->FailRest();
-        for (const auto& member : retiring_) member->pool->FailRest();
+        for (const auto& member : snapshot_->members) member->pool->FailPending();
+        for (const auto& member : retiring_) member->pool->FailPending();
       }) {
-  const ClientLimits limits = LimitsOf(*services);
+  const HttpServerLimits limits = LimitsOf(*services);
   places_.Resize(std::max<std::uint64_t>(
       1, static_cast<std::uint64_t>(static_cast<double>(limits.sessions) * kPlacesPart)));
   bodies_.Resize(limits.body_bytes);
@@ -119,20 +119,20 @@
 
 // A request holds its pool by its ticket, and the pool holds the request.
 ServiceGateway::~ServiceGateway() {
-  for (const auto& member : snapshot_->members) member->pool->Abandon();
-  for (const auto& member : retiring_) member->pool->Abandon();
+  for (const auto& member : snapshot_->members) member->pool->DropPending();
+  for (const auto& member : retiring_) member->pool->DropPending();
 }
 
 std::shared_ptr<ServiceGateway::Member> ServiceGateway::MakeMember(const config::Pool& from) {
   auto member = std::make_shared<Member>(from);
   member->number = ++made_;
   const auto most = [](const config::BudgetShare& portion) {
-    return portion.max > 0 ? portion.max : limits::SharedBudget::kNoMost;
+    return portion.max > 0 ? portion.max : limits::SharedBudget::kUnlimited;
   };
   // Guarantees follow once the new file holds.
-  member->descriptors = descriptors_.Join(0, most(from.descriptors));
-  member->places = places_.Join(0, most(from.clients));
-  member->bodies = bodies_.Join(0, most(from.body_memory));
+  member->descriptors = descriptors_.AddParticipant(0, most(from.descriptors));
+  member->places = places_.AddParticipant(0, most(from.clients));
+  member->bodies = bodies_.AddParticipant(0, most(from.body_memory));
   Settings settings = from.settings;
   const auto all = std::min<std::uint64_t>(descriptors_.total(), most(from.descriptors));
   const auto wanted = static_cast<std::uint64_t>(settings.max_in_flight);
@@ -140,12 +140,12 @@
   HostPool::Limits upstream;
   upstream.dial_timeout = from.dial_timeout;
   upstream.idle_timeout = from.idle_timeout;
-  upstream.connections = static_cast<std::size_t>(all);
-  upstream.answer_body = from.max_response_bytes;
+  upstream.max_connections = static_cast<std::size_t>(all);
+  upstream.max_response_bytes = from.max_response_bytes;
   upstream.plain = from.response_rules == config::ResponseRules::kPlain;
-  upstream.take_socket = [this, party = member->descriptors] { return descriptors_.Take(party); };
-  upstream.give_socket = [this, party = member->descriptors, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) descriptors_.Give(party);
+  upstream.acquire_socket = [this, party = member->descriptors] { return descriptors_.TryAcquire(party); };
+  upstream.release_socket = [this, party = member->descriptors, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired()) descriptors_.Release(party);
   };
   try {
     member->pool = std::make_shared<Pool>(
@@ -153,9 +153,9 @@
         Pool::Options{from.id, std::move(settings), seed_ ^ (0x9e3779b97f4a7c15ULL * made_),
                       std::move(upstream), from.response_rules == config::ResponseRules::kPlain, nullptr});
   } catch (const std::exception& error) {
-    descriptors_.Leave(member->descriptors);
-    places_.Leave(member->places);
-    bodies_.Leave(member->bodies);
+    descriptors_.RemoveParticipant(member->descriptors);
+    places_.RemoveParticipant(member->places);
+    bodies_.RemoveParticipant(member->bodies);
     throw std::runtime_error("pool " + from.id + ": " + error.what());
   }
   return member;
@@ -164,10 +164,10 @@
 // Has the pool told of its hosts, from now on.
 void ServiceGateway::Begin(Member& member, const config::Pool& from) {
   Member* const to = &member;  // it outlives its source, which it holds
-  Source::Handlers handlers{[this, to](const HostList& list) { Told(*to, list); },
-                            [to] { to->pool->ListFailed(); },
-                            [to](const std::string& text) { Say("pool " + to->id + ": " + text); }};
-  member.source = MakeSource(io_, from.membership, std::move(handlers));
+  HostSource::Handlers handlers{[this, to](const HostList& list) { Told(*to, list); },
+                                [to] { to->pool->MembershipUpdateFailed(); },
+                                [to](const std::string& text) { Say("pool " + to->id + ": " + text); }};
+  member.source = MakeHostSource(io_, from.membership, std::move(handlers));
   member.source->Start();
 }
 
@@ -175,7 +175,7 @@
 // parts, and the rest to whoever needs it.
 void ServiceGateway::Share(const Snapshot& snapshot) {
   const auto deal = [&](limits::SharedBudget& budget, config::BudgetShare config::Pool::*portion,
-                        limits::SharedBudget::Party Member::*party) {
+                        limits::SharedBudget::ParticipantId Member::*party) {
     const auto& pools = snapshot.services->pools;
     std::uint64_t asked = 0, silent = 0;
     for (const config::Pool& pool : pools) {
@@ -186,8 +186,8 @@
     const std::uint64_t each = silent > 0 && half > asked ? (half - asked) / silent : 0;
     for (std::size_t i = 0; i < pools.size(); ++i) {
       const config::BudgetShare& p = pools[i].*portion;
-      budget.Change(*snapshot.members[i].*party, p.guaranteed > 0 ? p.guaranteed : each,
-                    p.max > 0 ? p.max : limits::SharedBudget::kNoMost);
+      budget.SetLimits(*snapshot.members[i].*party, p.guaranteed > 0 ? p.guaranteed : each,
+                       p.max > 0 ? p.max : limits::SharedBudget::kUnlimited);
     }
   };
   deal(descriptors_, &config::Pool::descriptors, &Member::descriptors);
@@ -204,9 +204,9 @@
   std::vector<config::Listener> opened;
   const auto undo = [&] {
     for (const auto& [member, pool] : made) {
-      descriptors_.Leave(member->descriptors);
-      places_.Leave(member->places);
-      bodies_.Leave(member->bodies);
+      descriptors_.RemoveParticipant(member->descriptors);
+      places_.RemoveParticipant(member->places);
+      bodies_.RemoveParticipant(member->bodies);
     }
     for (const config::Listener& listener : opened) clients_.Unlisten(listener.id, listener.address);
   };
@@ -240,13 +240,13 @@
   Share(*next);
   for (std::size_t i = 0; i < next->members.size(); ++i) {
     Member& member = *next->members[i];
-    if (member.source) member.source->Change(services->pools[i].membership.hosts);
+    if (member.source) member.source->SetStaticHosts(services->pools[i].membership.hosts);
   }
   for (const auto& [member, pool] : made) {
     // A discovery service takes a moment to answer: until then the hosts are those that the old pool knew.
     const auto found = running.find(member->id);
     if (found != running.end() && pool->membership.source == config::Membership::Source::kDiscovery) {
-      const HostList known = nodes_.ViewOf(found->second->number);
+      const HostList known = nodes_.HostsOf(found->second->number);
       if (!known.hosts.empty()) Told(*member, known);
     }
     Begin(*member, *pool);
@@ -271,11 +271,13 @@
 
 void ServiceGateway::Told(Member& member, const HostList& list) {
   const auto known = nodes_.drains();
-  const auto news = nodes_.Told(member.number, list, Now());
-  const auto give = [&](const std::shared_ptr<Member>& to, const HostList& told) { to->pool->Told(told); };
-  for (const NodeRegistry::News& item : news) {
+  const auto news = nodes_.ApplyUpdate(member.number, list, Now());
+  const auto give = [&](const std::shared_ptr<Member>& to, const HostList& told) {
+    to->pool->UpdateMembership(told);
+  };
+  for (const NodeRegistry::PoolUpdate& item : news) {
     if (item.pool == member.number) {
-      member.pool->Told(item.list);
+      member.pool->UpdateMembership(item.list);
       continue;
     }
     for (const auto& other : snapshot_->members) {
@@ -298,9 +300,9 @@
 void ServiceGateway::Retire(const std::shared_ptr<Member>& member) {
   member->retired = true;
   retiring_.push_back(member);
-  descriptors_.Change(member->descriptors, 0);
-  places_.Change(member->places, 0);
-  bodies_.Change(member->bodies, 0);
+  descriptors_.SetLimits(member->descriptors, 0);
+  places_.SetLimits(member->places, 0);
+  bodies_.SetLimits(member->bodies, 0);
   member->pool->WhenIdle([this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Sweep();
   });
@@ -313,20 +315,20 @@
     if (alive.expired()) return;
     sweeping_ = false;
     retiring_.remove_if([this](const std::shared_ptr<Member>& member) {
-      if (member->pool->open() > 0 || member->gate.held() > 0) return false;
-      nodes_.Forget(member->number);
-      descriptors_.Leave(member->descriptors);
-      places_.Leave(member->places);
-      bodies_.Leave(member->bodies);
+      if (member->pool->active_requests() > 0 || member->gate.active() > 0) return false;
+      nodes_.RemovePool(member->number);
+      descriptors_.RemoveParticipant(member->descriptors);
+      places_.RemoveParticipant(member->places);
+      bodies_.RemoveParticipant(member->bodies);
       return true;
     });
   });
 }
 
-std::optional<Fault> ServiceGateway::Admit(const HttpRequest& head, const routing::Target& target,
-                                           const Origin& origin, Call& call) {
+std::optional<LocalReply> ServiceGateway::Admit(const HttpRequest& head, const routing::Target& target,
+                                                const RequestOrigin& origin, ClientRequest& call) {
   const auto fault = [](http::status status, std::string text) {
-    Fault f{status, std::move(text)};
+    LocalReply f{status, std::move(text)};
     f.keep_connection = true;
     return f;
   };
@@ -341,13 +343,13 @@
   }
   if (head.count("Idempotency-Key") > 1)
     return fault(http::status::bad_request, "Idempotency-Key is repeated");
-  routing::Request request{target.authority.host, target.path, View(head.method_string()),
-                           names.class_name.empty() ? std::string_view() : View(head[names.class_name]),
-                           origin.listener};
+  routing::Request request{
+      target.authority.host, target.path, ToStringView(head.method_string()),
+      names.class_name.empty() ? std::string_view() : ToStringView(head[names.class_name]), origin.listener};
   for (const std::string& name : services.table.header_names()) {
     const auto count = head.count(name);
     if (count > 1) return fault(http::status::bad_request, name + " is repeated");
-    if (count == 1) request.headers.push_back({name, View(head[name])});
+    if (count == 1) request.headers.push_back({name, ToStringView(head[name])});
   }
   const auto match = services.table.Match(request);
   for (const std::string& reading : routing::AlternativeReadings(target.path)) {
@@ -361,23 +363,23 @@
   const config::RouteRule& rule = services.routes[*match];
   const std::shared_ptr<Member>& member = snapshot->members[rule.pool];
   call.client = origin.client.is_unspecified() ? "" : origin.client.to_string();
-  call.pacer = member->pacer;
+  call.read_throttle = member->pacer;
   if (auto wrong = Describe(head, rule, services.pools[rule.pool], call)) return wrong;
   return Enter(member, call);
 }
 
 // What class the request is of, and what it tells of itself.
-std::optional<Fault> ServiceGateway::Describe(const HttpRequest& head, const config::RouteRule& rule,
-                                              const config::Pool& pool, Call& call) {
+std::optional<LocalReply> ServiceGateway::Describe(const HttpRequest& head, const config::RouteRule& rule,
+                                                   const config::Pool& pool, ClientRequest& call) {
   const auto fault = [](http::status status, std::string text, std::string allow = {}) {
-    Fault f{status, std::move(text), 0, std::move(allow)};
+    LocalReply f{status, std::move(text), 0, std::move(allow)};
     f.keep_connection = true;
     return f;
   };
   const config::Services& services = *snapshot_->services;
   const config::RequestHeaders& names = services.headers;
   const auto field = [&](const std::string& name) {
-    return name.empty() ? std::string() : std::string(View(head[name]));
+    return name.empty() ? std::string() : std::string(ToStringView(head[name]));
   };
   const config::ServiceClass* cls = nullptr;
   if (rule.class_index >= 0) {
@@ -389,7 +391,7 @@
     }
     if (cls == nullptr) return fault(http::status::bad_request, names.class_name + " names no class");
   }
-  const std::string method(View(head.method_string()));
+  const std::string method(ToStringView(head.method_string()));
   if (!cls->methods.empty() &&
       std::find(cls->methods.begin(), cls->methods.end(), method) == cls->methods.end()) {
     return fault(http::status::method_not_allowed, "class " + cls->settings.name + " takes another method",
@@ -404,51 +406,52 @@
   call.class_name = cls->settings.name;
   call.tenant = field(names.tenant);
   call.key = field(names.key);
-  call.retry = field(names.retry) == "1";
-  call.allowed = cls->settings.deadline;
+  call.is_retry = field(names.retry) == "1";
+  call.client_timeout = cls->settings.deadline;
   if (const std::string stated = field(names.deadline); !stated.empty()) {
     const auto deadline = ReadDeadline(stated);
     if (!deadline) return fault(http::status::bad_request, names.deadline + " is malformed");
-    call.allowed = std::min(call.allowed, *deadline);
+    call.client_timeout = std::min(call.client_timeout, *deadline);
   }
   call.id = field(names.id);
-  if (call.id.size() > kMostId) return fault(http::status::bad_request, names.id + " is too long");
+  if (call.id.size() > kMaxRequestIdLength)
+    return fault(http::status::bad_request, names.id + " is too long");
   if (call.id.empty()) {
     char id[40];
     std::snprintf(id, sizeof id, "%016llx-%llx", static_cast<unsigned long long>(seed_),
                   static_cast<unsigned long long>(++ids_));
     call.id = id;
   }
-  call.most_body = pool.max_request_bytes;
+  call.max_body_bytes = pool.max_request_bytes;
   return std::nullopt;
 }
 
 // Takes the request in by its pool's limits, or turns it away at once.
-std::optional<Fault> ServiceGateway::Enter(const std::shared_ptr<Member>& member, Call& call) {
+std::optional<LocalReply> ServiceGateway::Enter(const std::shared_ptr<Member>& member, ClientRequest& call) {
   const auto refuse = [](http::status status, std::string text, Millis retry_after, std::string cause) {
-    Fault f{status, std::move(text), retry_after, {}, std::move(cause)};
+    LocalReply f{status, std::move(text), retry_after, {}, std::move(cause)};
     f.keep_connection = true;
     return f;
   };
-  if (!places_.Take(member->places)) {
+  if (!places_.TryAcquire(member->places)) {
     return refuse(http::status::service_unavailable, "pool " + member->id + " has no places left", kBusyRetry,
                   "places");
   }
-  const auto answer = member->gate.Enter(Now());
-  if (answer.verdict != limits::PoolGate::Verdict::kEnter) {
-    places_.Give(member->places);
-    const bool fast = answer.verdict == limits::PoolGate::Verdict::kTooFast;
+  const auto answer = member->gate.TryAdmit(Now());
+  if (answer.decision != limits::RequestLimiter::Decision::kAdmitted) {
+    places_.Release(member->places);
+    const bool fast = answer.decision == limits::RequestLimiter::Decision::kRateExceeded;
     return refuse(
         fast ? http::status::too_many_requests : http::status::service_unavailable,
         "pool " + member->id + (fast ? " takes no more requests a second" : " holds no more requests"),
         answer.retry_after, fast ? "pace" : "held");
   }
   const auto ticket = std::make_shared<Ticket>(*this, member);
-  call.hold = ticket;
+  call.admission = ticket;
   call.pool = member->pool;
-  call.reserve = [this, weak = std::weak_ptr(ticket)](std::uint64_t bytes) {
+  call.reserve_body = [this, weak = std::weak_ptr(ticket)](std::uint64_t bytes) {
     const auto held = weak.lock();
-    if (!held || held->body > 0 || !bodies_.Take(held->member->bodies, bytes)) return false;
+    if (!held || held->body > 0 || !bodies_.TryAcquire(held->member->bodies, bytes)) return false;
     held->body = bytes;
     return true;
   };
