--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -13,7 +13,9 @@
 
 using nlohmann::json;
 
-std::string Scalar(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
+std::string FormatScalar(const json& value) {
+  return value.is_string() ? value.get<std::string>() : value.dump();
+}
 
 // Turns the settings into the path=value pairs of the simulator's first message, which have the same names
 // and units: one reader serves both, so a setting can't mean two things.
@@ -25,10 +27,10 @@
     for (std::size_t i = 0; i < node.size(); ++i) Flatten(node[i], prefix + std::to_string(i), pairs);
   } else if (node.is_array()) {
     std::string joined;
-    for (const json& item : node) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const json& item : node) joined += (joined.empty() ? "" : ",") + FormatScalar(item);
     pairs.push_back(path + "=" + joined);
   } else if (!node.is_null()) {
-    pairs.push_back(path + "=" + Scalar(node));
+    pairs.push_back(path + "=" + FormatScalar(node));
   }
 }
 
@@ -46,9 +48,9 @@
 }
 
 // A number at a JSON pointer, above 0; the default where it is absent.
-double PositiveOr(const json& file, const std::string& path, double otherwise) {
+double PositiveOr(const json& file, const std::string& path, double default_value) {
   const json::json_pointer at(path);
-  if (!file.contains(at) || file[at].is_null()) return otherwise;
+  if (!file.contains(at) || file[at].is_null()) return default_value;
   if (!file[at].is_number() || !(file[at].get<double>() > 0)) {
     throw ConfigError(path.substr(1) + ": must be a number above 0");
   }
@@ -85,7 +87,7 @@
   config.listen = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
   config.discovery = ReadAddress(variable("NODE_DISCOVERY"), "NODE_DISCOVERY", file, "discovery");
   if (file.contains("seed")) {
-    const std::string text = Scalar(file["seed"]);
+    const std::string text = FormatScalar(file["seed"]);
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
     if (error != std::errc() || end != text.data() + text.size()) {
       throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
