--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -17,8 +17,8 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// Turns the settings into the path=value pairs of the simulator's first message, which have the same names
-// and units: one reader serves both, so a setting can't mean two things.
+// Turns the settings into path=value pairs as in the simulator's CREATE message. Names and units are the
+// same, so one parser serves both sources, and a setting means the same in both.
 void Flatten(const json& node, const std::string& path, std::vector<std::string>& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
   if (node.is_object()) {
@@ -36,18 +36,18 @@
 
 Settings ReadSettings(const json& file) {
   if (!file.contains("settings") || !file["settings"].is_object()) {
-    throw ConfigError("settings: missing, or not an object");
+    throw ConfigError("settings: missing, or not a JSON object");
   }
   std::vector<std::string> pairs;
   Flatten(file["settings"], "", pairs);
   try {
     return wire::ParseSettings({pairs.begin(), pairs.end()});
-  } catch (const std::exception& error) {  // its text names the field
+  } catch (const std::exception& error) {  // what() names the field
     throw ConfigError(std::string("settings: ") + error.what());
   }
 }
 
-// A number at a JSON pointer, above 0; the default where it is absent.
+// Reads a number above 0 at a JSON pointer. Returns `default_value` if it is absent or null.
 double PositiveOr(const json& file, const std::string& path, double default_value) {
   const json::json_pointer at(path);
   if (!file.contains(at) || file[at].is_null()) return default_value;
@@ -57,7 +57,7 @@
   return file[at].get<double>();
 }
 
-// The variable wins over the file's field of the same meaning.
+// The environment variable takes precedence over the file's field.
 boost::asio::ip::tcp::endpoint ReadAddress(const char* variable, const std::string& name, const json& file,
                                            const std::string& field) {
   std::string text;
@@ -69,7 +69,7 @@
     throw ConfigError(name + ": not set");
   }
   const auto endpoint = ParseEndpoint(text);
-  if (!endpoint) throw ConfigError(name + ": '" + text + "' is not an address and port");
+  if (!endpoint) throw ConfigError(name + ": '" + text + "' is not an IP address and port");
   return *endpoint;
 }
 
@@ -81,7 +81,7 @@
   std::ifstream stream(path);
   if (!stream) throw ConfigError(std::string("NODE_CONFIG: can't read '") + path + "'");
   const json file = json::parse(stream, nullptr, /*allow_exceptions=*/false);
-  if (!file.is_object()) throw ConfigError(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
+  if (!file.is_object()) throw ConfigError(std::string("NODE_CONFIG: '") + path + "' is not a JSON object");
 
   Config config;
   config.listen = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
@@ -90,7 +90,7 @@
     const std::string text = FormatScalar(file["seed"]);
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
     if (error != std::errc() || end != text.data() + text.size()) {
-      throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
+      throw ConfigError("seed: '" + text + "' is not a number of up to 16 hex digits");
     }
   }
   config.sockets = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
@@ -100,7 +100,7 @@
   config.idle_timeout = PositiveOr(file, "/settings/limits/connIdleMs", config.idle_timeout);
   if (file.contains("known") && !file["known"].is_null()) {
     const auto known = ParseHostList(file["known"].dump());
-    if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
+    if (!known) throw ConfigError("known: not a list of hosts in the format of discovery");
     config.known = *known;
   }
   return config;
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -10,6 +10,7 @@
 
 using Unit = std::pair<std::string_view, double>;
 
+// Parses a non-negative decimal number followed by one of the units.
 std::optional<double> ParseWithUnit(std::string_view text, std::initializer_list<Unit> units) {
   double value = 0;
   const char* const last = text.data() + text.size();
