--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -102,7 +102,7 @@
   // Host patterns by their text; a host's id is its item.
   struct HostPatternIndex {
     HashIndex index;
-    std::vector<std::string> texts;  // by item - 1
+    std::vector<std::string> patterns;  // by item - 1
     std::vector<std::uint32_t> ids;
     std::uint32_t Find(std::string_view name) const;  // 0 if there is none
   };
