--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 
-// FNV-1a, carried on from segment to segment of a path.
+// FNV-1a, computed byte by byte, so that one pass over a path gives the hashes of all its prefixes. HashEnd
+// mixes the bits and distinguishes prefixes from exact paths.
 std::uint64_t HashBegin(std::uint32_t host_id) { return (1469598103934665603ULL ^ host_id) * kFnvPrime; }
 std::uint64_t HashByte(std::uint64_t hash, char c) {
   return (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
@@ -65,7 +66,8 @@
          (pattern.text.empty() || path.size() == pattern.text.size() || path[pattern.text.size()] == '/');
 }
 
-// Whether all that meets the conditions of `inner` meets those of `outer`, host and path left aside.
+// Whether every request that meets the conditions of `inner` meets those of `outer` too. Hosts and paths are
+// not compared.
 bool Covers(const Route& outer, const Route& inner) {
   const auto all_in = [](const auto& wide, const auto& narrow) {
     if (wide.empty()) return true;
@@ -154,7 +156,7 @@
     if (indexes.empty() || indexes.back() != route_index) indexes.push_back(route_index);
   };
   PathOffsets offsets;
-  std::vector<RouteIndexes> scanned;  // by bucket, until they are laid side by side
+  std::vector<RouteIndexes> scanned;  // by bucket; copied to scanned_routes_ below
   for (std::size_t i = 0; i < routes_.size(); ++i) {
     Route& route = routes_[i];
     for (HeaderCondition& condition : route.headers) {
@@ -234,7 +236,7 @@
   bucket.is_prefix = is_prefix;
   bucket.path_length = static_cast<std::uint32_t>(path.size());
   const auto [known, added] = offsets.try_emplace(path, static_cast<std::uint32_t>(path_text_.size()));
-  if (added) path_text_ += path;  // most hosts have the same few paths
+  if (added) path_text_ += path;  // stored once, as most hosts have the same few paths
   bucket.path_offset = known->second;
   buckets_.push_back(bucket);
   bucket_index_.Add(hash, static_cast<std::uint32_t>(buckets_.size()));
@@ -255,7 +257,7 @@
       const bool is_segment_end = i + 1 == path.size() || path[i + 1] == '/';
       if (!is_segment_end || segments >= max_prefix_depth_[id]) continue;
       ++segments;
-      if (path[i] == '/') continue;  // "/" alone: prefixes have no last slash
+      if (path[i] == '/') continue;  // the path "/": a prefix has no trailing slash
       if (const Bucket* const bucket = FindBucket(HashEnd(hash, true), id, true, path.substr(0, i + 1)))
         visit(*bucket);
     }
@@ -374,7 +376,7 @@
           }
         }
       };
-      // A pattern is looked up as a request of its least special form: "*.x" finds itself and wider ones.
+      // A pattern is looked up like a request's host and path: "*.x" finds the pattern itself and wider ones.
       ForEachBucket(host, path.text, !path.is_prefix, visit);
       if (!cover) return std::nullopt;
       last = last ? std::max(*last, *cover) : *cover;
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -12,8 +12,7 @@
 bool IsAlpha(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z'); }
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 
-// What each byte may be in RFC 3986, by one look: this is done for every byte of every request's target and
-// Host.
+// The character class of each byte in RFC 3986. A table, as every byte of every target and Host is checked.
 enum CharClass : unsigned char { kUnreserved = 1, kSubDelim = 2, kPathOnly = 4 };  // kPathOnly: ":" and "@"
 constexpr std::array<unsigned char, 256> MakeCharClasses() {
   std::array<unsigned char, 256> classes{};
@@ -30,7 +29,7 @@
 unsigned CharClassOf(char c) { return kCharClasses[static_cast<unsigned char>(c)]; }
 bool IsUnreserved(char c) { return CharClassOf(c) == kUnreserved; }
 bool IsRegNameChar(char c) { return (CharClassOf(c) & (kUnreserved | kSubDelim)) != 0; }
-// pchar of RFC 3986, without the percent sign.
+// pchar of RFC 3986, except percent-encodings.
 bool IsPathChar(char c) { return CharClassOf(c) != 0; }
 
 int HexValue(char c) {
@@ -40,7 +39,7 @@
   return -1;
 }
 
-// The byte that a code at `i` stands for; -1 if there is no whole code.
+// Decodes the percent-encoding at `i`; -1 if there is none or it is incomplete.
 int DecodePercentAt(std::string_view text, std::size_t i) {
   if (text[i] != '%' || i + 2 >= text.size()) return -1;
   const int high = HexValue(text[i + 1]), low = HexValue(text[i + 2]);
@@ -61,7 +60,7 @@
   return code;
 }
 
-// RFC 3629: the only form of each character, no surrogates, nothing past U+10FFFF.
+// RFC 3629: no overlong forms, no surrogates, nothing above U+10FFFF.
 bool IsUtf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const auto lead = static_cast<unsigned char>(text[i]);
@@ -94,14 +93,15 @@
   return out;
 }
 
-// Takes out repeated slashes and dot segments, and keeps what says that the last segment is a folder.
+// Removes repeated slashes and dot segments (RFC 3986 section 5.2.4). Keeps a trailing slash, and leaves one
+// for a trailing dot segment.
 std::string RemoveDotSegments(std::string_view path) {
   std::string out;
   out.reserve(path.size());
   std::size_t at = 0;
   bool ends_in_slash = false;
   while (at < path.size()) {
-    const std::size_t begin = at + 1;  // `at` is a slash
+    const std::size_t begin = at + 1;  // path[at] is a slash
     const std::size_t end = std::min(path.find('/', begin), path.size());
     const std::string_view segment = path.substr(begin, end - begin);
     ends_in_slash = segment.empty() || segment == "." || segment == "..";
@@ -153,7 +153,7 @@
 
 std::optional<std::string> NormalizePath(std::string_view path, std::string& error) {
   if (path.empty() || path[0] != '/') return error = "a path begins with a slash", std::nullopt;
-  // Nearly all paths are in their normal form.
+  // Fast path: nearly all paths are normalized already.
   bool is_plainly_normal = true;
   for (std::size_t i = 0; i < path.size() && is_plainly_normal; ++i) {
     const char c = path[i];
@@ -216,7 +216,7 @@
     if (!in_parameter) without_parameters += c;
   }
   add(without_parameters);
-  // Some take the parameters off before they decode.
+  // Some servers remove parameters before they decode.
   std::string decoded_last;
   in_parameter = false;
   for (const char c : path) {
@@ -261,7 +261,7 @@
   if (end == text.size()) return authority;
   if (text[end] != ':') return error = "after a host only a port may follow", std::nullopt;
   const std::string_view digits = text.substr(end + 1);
-  if (digits.empty()) return authority;  // RFC 3986: a port may be empty
+  if (digits.empty()) return authority;  // RFC 3986 section 3.2.3: a port may be empty
   int port = 0;
   const auto [last, failed] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (failed != std::errc() || last != digits.data() + digits.size() || !IsDigit(digits[0]) || port > 65535) {
@@ -301,7 +301,8 @@
   const std::size_t end = std::min(rest.find_first_of("/?#"), rest.size());
   auto authority = ParseAuthority(rest.substr(0, end), error);
   if (!authority) return std::nullopt;
-  if (authority->host.empty()) return error = "an http URI names a host", std::nullopt;  // RFC 9110 4.2.1
+  if (authority->host.empty())
+    return error = "an http URI names a host", std::nullopt;  // RFC 9110 section 4.2.1
   target.authority = *authority;
   const std::string_view path = rest.substr(end);
   if (!ParsePathAndQuery(path.empty() || path[0] != '/' ? "/" + std::string(path) : std::string(path), target,
