--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -1,5 +1,6 @@
-// forkwick: the gateway's command line. Without arguments it is the platform's gateway, told by NODE_*
-// variables; with them it runs, checks or explains an operators' file.
+// forkwick: the gateway's program. Without arguments it runs a gateway for the platform, configured by the
+// NODE_* environment variables. With a subcommand it runs an operators' file, checks it, or explains its
+// routing.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -36,7 +37,8 @@
 
 const char* GetEnvironment(const char* name) { return std::getenv(name); }
 
-// The environment still tells where discovery was at the start: a changed file knows better.
+// At a reload NODE_DISCOVERY is ignored: the environment has the address as of the start, the file may have a
+// newer one.
 const char* GetEnvironmentAtReload(const char* name) {
   return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : GetEnvironment(name);
 }
@@ -50,7 +52,7 @@
         try {
           gateway.Reload(gw::LoadConfig(GetEnvironmentAtReload));
         } catch (const std::exception& error) {
-          std::fprintf(stderr, "forkwick: configuration not reloaded: %s\n", error.what());
+          std::fprintf(stderr, "forkwick: configuration not reloaded, the old one stays: %s\n", error.what());
         }
       });
   return kDone;
@@ -78,7 +80,7 @@
       return;
     }
     std::fprintf(stderr, "forkwick: reloaded %s\n", path.c_str());
-    // The watch may be what called this: it is changed from the loop.
+    // The watcher may be the caller, so it is replaced later, from the loop.
     asio::post(io, [&, services = next.services] { update_watcher(*services); });
   };
   update_watcher(*first.services);
@@ -116,6 +118,7 @@
   return parsed.services ? kDone : kFailed;
 }
 
+// The request that `forkwick route` explains.
 struct RouteQuery {
   std::string host, path = "/", method = "GET", class_name, listener;
   std::vector<std::string> headers;
@@ -166,7 +169,8 @@
 int Main(int argc, char** argv) {
   if (argc <= 1) return RunPlatform();
   CLI::App app(
-      "A gateway for HTTP services. Without arguments: the platform's gateway, told by NODE_* variables.",
+      "A gateway for HTTP services. Without arguments: the platform's gateway, configured by NODE_* "
+      "variables.",
       "forkwick");
   app.require_subcommand(1);
   std::string file;
@@ -175,18 +179,19 @@
   auto* const run = app.add_subcommand("run", "run the services of a file until SIGTERM; SIGHUP reloads it");
   run->add_option("--config", file, "the operators' file")->required();
   auto* const check =
-      app.add_subcommand("check", "tell all that is wrong with a file: exit code 0 if nothing, else 1");
+      app.add_subcommand("check", "check a file and print its issues: exit code 0 if there are none, else 1");
   check->add_option("file", file, "the operators' file")->required();
-  check->add_flag("--json", json, "for programs");
+  check->add_flag("--json", json, "print JSON");
   auto* const route = app.add_subcommand(
-      "route", "tell which route a request takes, and why the earlier ones do not: exit code 3 if none does");
+      "route",
+      "print which route matches a request, and why the earlier ones do not: exit code 3 if none matches");
   route->add_option("file", file, "the operators' file")->required();
-  route->add_option("--host", query.host, "its Host");
-  route->add_option("--path", query.path, "its path, or its whole target");
-  route->add_option("--method", query.method, "its method");
-  route->add_option("--class", query.class_name, "the class that it states");
-  route->add_option("--listener", query.listener, "the listener that it comes in by");
-  route->add_option("--header", query.headers, "a header of it, as 'Name: value'; may be repeated");
+  route->add_option("--host", query.host, "the request's Host");
+  route->add_option("--path", query.path, "the request's path, or its whole target");
+  route->add_option("--method", query.method, "the request's method");
+  route->add_option("--class", query.class_name, "the class that the client states");
+  route->add_option("--listener", query.listener, "the id of the listener that receives the request");
+  route->add_option("--header", query.headers, "a header of the request, as 'Name: value'; may be repeated");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -1,5 +1,6 @@
-// forkwick-control: hands the decisions of an operators' file to other proxies over xDS. The main thread
-// follows the file and the membership; one thread decides; gRPC has its own.
+// forkwick-control: serves the routes, weights and drains of an operators' file to other proxies over xDS.
+// The main thread watches the file and the membership, one thread makes the decisions, and gRPC has its own
+// threads.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <cstdio>
@@ -53,7 +54,7 @@
   return options;
 }
 
-// What runs: the service, and the sources of its pools' hosts.
+// The running service: the xDS server, the operators' socket, and the host sources of the pools.
 class ControlService {
  public:
   ControlService(asio::io_context& io, std::shared_ptr<const config::Services> services)
@@ -66,7 +67,7 @@
                             Millis now) {
       if (control_) control_->Heard(proxy, reports, now);
     };
-    const auto drained = drains_.Read();  // before anybody is told anything
+    const auto drained = drains_.Read();  // before any proxy is served
     server_ = std::make_unique<xds::Server>(std::move(options));
     server_->With([&](xds::Hub& hub, Millis now) {
       control_ = std::make_unique<xds::Control>(hub, RandomSeed(), LogLine);
@@ -87,7 +88,9 @@
     if (old.address != updated.address || old.socket != updated.socket || old.lease != updated.lease ||
         old.heartbeat != updated.heartbeat || old.max_proxies != updated.max_proxies ||
         old.drains_file != updated.drains_file) {
-      LogLine("control.address, socket, drains, proxies, lease and heartbeat count from the next start");
+      LogLine(
+          "changes of control.address, socket, drains, proxies, lease and heartbeat take effect at the next "
+          "start");
     }
     server_->With([&](xds::Hub&, Millis now) { return control_->Configure(services, now); });
     UpdateSources(*services);
@@ -95,7 +98,7 @@
   }
 
  private:
-  // Sources of pools whose definition stays are kept, those of others begin anew.
+  // Keeps the host sources of pools whose definition is unchanged, and starts new ones for the others.
   void UpdateSources(const config::Services& services) {
     std::map<std::string, PoolSource> next;
     std::vector<gw::HostSource*> started;
@@ -128,7 +131,7 @@
   asio::io_context& io_;
   xds::DrainFile drains_;
   std::shared_ptr<const config::Services> services_;
-  std::unique_ptr<xds::Control> control_;  // of the deciding thread; ends after it
+  std::unique_ptr<xds::Control> control_;  // used by the decision thread, so it must outlive server_
   std::unique_ptr<xds::Server> server_;
   std::unique_ptr<xds::Operators> operators_;
   std::map<std::string, PoolSource> sources_;
@@ -158,7 +161,7 @@
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app("Hands the routes, weights and drains of an operators' file to other proxies, over xDS.",
+  CLI::App app("Serves the routes, weights and drains of an operators' file to other proxies over xDS.",
                "forkwick-control");
   app.require_subcommand(1);
   std::string file, socket, node;
@@ -169,20 +172,20 @@
   const auto add_client_command = [&](const char* name, const char* what) {
     auto* const command = app.add_subcommand(name, what);
     auto* const by_file =
-        command->add_option("--config", file, "the operators' file, for its control.socket");
-    command->add_option("--socket", socket, "the socket itself")->excludes(by_file);
+        command->add_option("--config", file, "the operators' file, whose control.socket is used");
+    command->add_option("--socket", socket, "the path of the control socket")->excludes(by_file);
     return command;
   };
-  auto* const status = add_client_command("status", "tell what proxies are told, and what they reject");
-  status->add_flag("--json", json, "for programs");
-  auto* const drain = add_client_command(
-      "drain",
-      "have no proxy send to a node, until it is undrained: exit code 4 if proxies are still waited for");
-  drain->add_option("node", node, "its id")->required();
-  drain->add_flag("--wait", wait, "return when every proxy has answered, or its lease has run out");
-  drain->add_option("--timeout", timeout_s, "seconds to wait at the most")->check(CLI::PositiveNumber);
-  auto* const undrain = add_client_command("undrain", "take an operator's drain back");
-  undrain->add_option("node", node, "its id")->required();
+  auto* const status = add_client_command("status", "print what proxies are sent, and what they reject");
+  status->add_flag("--json", json, "print JSON");
+  auto* const drain = add_client_command("drain",
+                                         "stop all proxies from sending requests to a node until it is "
+                                         "undrained: exit code 4 if some proxies have not answered yet");
+  drain->add_option("node", node, "the id of the node")->required();
+  drain->add_flag("--wait", wait, "wait until each proxy has answered or its lease has expired");
+  drain->add_option("--timeout", timeout_s, "seconds to wait at most")->check(CLI::PositiveNumber);
+  auto* const undrain = add_client_command("undrain", "undo an operator's drain");
+  undrain->add_option("node", node, "the id of the node")->required();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
@@ -191,7 +194,7 @@
   if (run->parsed()) return Run(file);
   if (socket.empty()) {
     if (file.empty())
-      return std::fprintf(stderr, "forkwick-control: --config or --socket is missing\n"), kUsage;
+      return std::fprintf(stderr, "forkwick-control: --config or --socket is required\n"), kUsage;
     const auto parsed = config::LoadServices(file);
     if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
     socket = parsed.services->control.socket;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -93,8 +93,8 @@
     std::uint32_t host_id = 0;
     std::uint32_t path_offset = 0;  // of its path in path_text_
     std::uint32_t path_length = 0;
-    std::uint32_t scan_begin = 0,
-                  scan_end = 0;         // in scanned_routes_: routes without a class and without an equality
+    // Range in scanned_routes_: the routes with neither a class nor an equality condition, tried in order.
+    std::uint32_t scan_begin = 0, scan_end = 0;
     std::uint32_t condition_index = 0;  // index in condition_indexes_ plus 1; 0 = none
     bool is_prefix = false;
   };
