--- a/bench/cost.sh
+++ b/bench/cost.sh
@@ -58,7 +58,7 @@
     latency:percentile(99) / 1000, summary.errors.status + summary.errors.read + summary.errors.timeout))
 end
 L
-play() {  # name, command...
+measure() {  # name, command...
   local name=$1 pid before after
   shift
   NODE_CONFIG=$work/platform.json NODE_LISTEN=127.0.0.1:18480 NODE_DISCOVERY=127.0.0.1:1 taskset -c 1 "$@" 2>/dev/null &
@@ -82,10 +82,10 @@
     '/^RESULT/ {print name, (u + k) / $2, u / $2, cpu * 10000 / $2, $3, $4, $5}' "$work/out" >>"$work/figures"
 }
 for _ in $(seq "$rounds"); do
-  play old "$old"
-  play new "$new"
-  play one "$new" run --config "$work/one.toml"
-  play twenty "$new" run --config "$work/twenty.toml"
+  measure old "$old"
+  measure new "$new"
+  measure one "$new" run --config "$work/one.toml"
+  measure twenty "$new" run --config "$work/twenty.toml"
 done
 echo "set-up   instructions a request: median (least to most), of them own; CPU us; requests/s; p99 ms; errors"
 echo "($rounds rounds of $seconds s in turn, 16 connections, 20 hosts; means but for the medians)"
