--- a/bench/cost.sh
+++ b/bench/cost.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# What a request costs the gateway: its instructions (in its own code, and in the kernel for it) and CPU time a request,
-# requests a second and 99th percentile, of the builds and set-ups below in turn, several rounds in one run.
+# Cost of a request at the gateway: instructions (user mode and kernel) and CPU time for each request, requests a second,
+# and 99th percentile of latency. Measures the builds and set-ups below in turn, for several rounds.
 #   bench/cost.sh OLD NEW STANDIN [ROUNDS] [SECONDS]
-# OLD and NEW are forkwick programs: both on the platform's path, and NEW with 1 and with 20 pools. Needs wrk, perf, 4 cores.
+# OLD and NEW are forkwick binaries, STANDIN is that of examples/standin.cpp. Both gateways run with the platform's
+# configuration, and NEW also with an operators' file with 1 and with 20 pools. Needs wrk, perf and 4 cores.
 set -euo pipefail
 old=$1 new=$2 standin=$3 rounds=${4:-5} seconds=${5:-4}
 work=$(mktemp -d)
@@ -58,13 +59,13 @@
     latency:percentile(99) / 1000, summary.errors.status + summary.errors.read + summary.errors.timeout))
 end
 L
-measure() {  # name, command...
+measure() {  # measure NAME COMMAND...: runs the gateway under load and adds a line to $work/figures
   local name=$1 pid before after
   shift
   NODE_CONFIG=$work/platform.json NODE_LISTEN=127.0.0.1:18480 NODE_DISCOVERY=127.0.0.1:1 taskset -c 1 "$@" 2>/dev/null &
   pid=$!
   for _ in $(seq 100); do (exec 3<>/dev/tcp/127.0.0.1/18480) 2>/dev/null && break; sleep 0.02; done
-  taskset -c 3 wrk -t1 -c16 -d1 -s "$work/ask.lua" http://127.0.0.1:18480 >/dev/null  # warm
+  taskset -c 3 wrk -t1 -c16 -d1 -s "$work/ask.lua" http://127.0.0.1:18480 >/dev/null  # warm-up
   before=$(awk '{print $14 + $15}' "/proc/$pid/stat")
   perf stat -x, -e instructions:u,instructions:k -o "$work/perf" -p "$pid" &
   local counter=$!
--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -1,11 +1,13 @@
-// What two healthy pools lose beside one that is broken: served share and 99th percentile. Two gateways run
-// at the same time, one with the broken pool and one without, and get the same load: what else the machine
-// does in that moment hits both.
+// Isolation of pools: how much of their served requests, and how much latency (99th percentile), two healthy
+// pools lose when a third pool is broken. Two gateways run at the same time, one under load on the broken
+// pool and one without, and get the same load on the healthy pools, so that other activity on the machine
+// affects both alike.
 //   isolation [ROUNDS [KIND]]     KIND: hangs, refuses, 500, 3GB, all (the default)
-// The healthy hosts answer at once in one measurement and after kServiceTime in another: beside no work at
-// all, a tenth of a millisecond is half of a request's time.
-// The gateway, its hosts and its clients have a process each. Healthy clients ask at a steady rate (open
-// loop: late answers don't lower it); the broken pool's ask again as soon as they are answered.
+// Each kind is measured with healthy hosts that answer at once, and again with hosts that answer after
+// kServiceTime: with no service time, 0.1 ms more is already half of a request's latency.
+// The gateways, the hosts and the clients run in processes of their own. The healthy pools get requests at a
+// fixed rate (open loop: late answers don't lower it); each client of the broken pool sends its next request
+// as soon as the last one has ended.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -23,13 +25,13 @@
 namespace opalswitch::testing {
 namespace {
 
-constexpr std::size_t kConnectionsPerPool = 64;  // a pool's, each with a connection
-constexpr double kRequestsPerSecond = 800;       // requests a second into each healthy pool
+constexpr std::size_t kConnectionsPerPool = 64;  // of each healthy pool's load
+constexpr double kRequestsPerSecond = 800;       // to each healthy pool
 constexpr int kDurationSeconds = 4;
 constexpr std::size_t kBrokenPoolClients = 200;
 constexpr std::chrono::milliseconds kServiceTime(5);
 
-// Requests at a fixed rate, each sent at its time; its latency counts from that time.
+// An open-loop load: each request has a scheduled time, and its latency is counted from that time.
 class SteadyLoad {
  public:
   SteadyLoad(asio::io_context& io, const tcp::endpoint& at, std::string request, double rate,
@@ -77,7 +79,7 @@
     });
   }
   void Send(Clock::time_point due) {
-    if (idle_.empty()) {  // more are out than there are connections
+    if (idle_.empty()) {  // all connections have a request in flight
       ++lost_;
       return;
     }
@@ -123,7 +125,7 @@
   std::size_t sent_ = 0, answered_ = 0, lost_ = 0;
 };
 
-// Has the peer answer with its name, after `time`.
+// Makes the peer answer with `name` after `time`.
 void SetResponses(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
   if (time.count() == 0) return Behave(peer, Broken::kNot, name);
   peer.serve = [&peer, time, name](const Peer::Taken& taken) {
@@ -141,10 +143,11 @@
          "\" }]\n[[route]]\nprefix = \"/" + id + "\"\npool = \"" + id + "\"\nclass = \"view\"\n";
 }
 
-// A process of its own, told by a pipe which ports it has; ended with this object.
+// A child process that reports its ports over a pipe. The destructor kills it.
 class Child {
  public:
-  // `run` gives the ports to `tell` and does not return.
+  // Runs `run` in the child, which passes its ports to the function that it is given and then serves until it
+  // is killed.
   explicit Child(const std::function<void(const std::function<void(std::vector<unsigned short>)>&)>& run) {
     int ends[2];
     if (pipe(ends) != 0) std::abort();
@@ -174,8 +177,8 @@
   pid_t pid_;
 };
 
-// What two gateways that run at the same time give to the same load: one with the broken pool beside the two
-// healthy ones, one without.
+// The worse of the two healthy pools, at the gateway without load on the broken pool (`alone`) and at the one
+// with it (`beside`).
 struct Comparison {
   Measurements alone, beside;
 };
@@ -190,7 +193,7 @@
     report_ports({one.address().port(), two.address().port()});
     io.run();
   });
-  // Apart: what it does to its own machine is not the gateway's doing.
+  // In a process of its own, so that its work does not slow down the healthy hosts.
   const Child broken([how](const auto& report_ports) {
     asio::io_context io(1);
     Peer three(io);
@@ -198,7 +201,7 @@
     const unsigned short port = three.address().port();
     Behave(three, how, "three");
     report_ports({port});
-    const auto work = asio::make_work_guard(io);  // also where it refuses connections
+    const auto work = asio::make_work_guard(io);  // keeps running also if it has no listening socket
     io.run();
   });
   const auto run_gateway = [&](const auto& report_ports) {
@@ -262,8 +265,8 @@
                                                   {Broken::kErrors, "500"},
                                                   {Broken::kEndless, "3GB"}};
   std::printf(
-      "two pools at %.0f requests a second each for %d s, beside a pool with %zu clients that ask without "
-      "pause;\n"
+      "two pools at %.0f requests a second each for %d s, beside a pool with %zu clients that send "
+      "requests without pause;\n"
       "worse of the two pools, median of %d rounds (least to most); the gateway alone runs at the same "
       "time\n",
       kRequestsPerSecond, kDurationSeconds, kBrokenPoolClients, rounds);
--- a/bench/route_lookup.cpp
+++ b/bench/route_lookup.cpp
@@ -1,6 +1,6 @@
-// What it costs to find a request's route, by the number of routes. Each table holds as many hosts as routes
-// / 5 and five routes a host; requests go to random hosts and paths, so that large tables are met cold as far
-// as they are.
+// Cost of a route lookup and of compiling a table, by the number of routes. A table has five routes for each
+// host. Requests are for random hosts and varying paths, so that the data of a large table is often not in
+// the CPU's caches.
 #include <benchmark/benchmark.h>
 
 #include <random>
--- a/cmake/UnchangedWhileBuilding.cmake
+++ b/cmake/UnchangedWhileBuilding.cmake
@@ -1,14 +1,14 @@
-# A header that changes while a build runs leaves objects behind of which some know the old layout of a struct and
-# some the new one; they link, and crash. Make does not mend that later: what was being compiled at the time
-# is newer than the header. So a build during which a header changed fails at its link, by the header's name, and the
-# header is touched, which has the next build compile all that includes it.
+# Fails a build during which a header changed. Such a build leaves objects with the old layout of a struct and objects
+# with the new one; they link, and the program crashes. The next build would not repair them, as an object that was
+# being compiled at the time is newer than the header. The check runs before the link, names the header, and touches it,
+# so that the next build recompiles everything that includes it.
 #
 #   unchanged_while_building(TARGET program FIRST base_library FOLDERS src include)
 #
-# FIRST is the target on which all others of the program depend, so that nothing is compiled before the build is
-# known to have begun.
+# FIRST is the target that all other targets of the program depend on: the time of the build's start is recorded
+# before it is compiled.
 #
-# Run with -P it is the check itself.
+# Run as a script (cmake -P), this file is the check itself.
 if(CMAKE_SCRIPT_MODE_FILE)
   foreach(folder ${FOLDERS})
     file(GLOB_RECURSE headers "${ROOT}/${folder}/*.hpp")
--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,4 +1,4 @@
-// One request from its arrival to its answer, through the public header alone.
+// Takes one request from its arrival to its answer, using only the public header of opalswitch.
 #include <iostream>
 #include <opalswitch/policy.hpp>
 
@@ -28,7 +28,7 @@
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::cout << "send " << send->request << " to " << send->server << "\n";
-      Outcome outcome;  // what the gateway reports once the server has answered
+      Outcome outcome;  // reported by the gateway once the server has answered
       outcome.request = send->request;
       outcome.server = send->server;
       outcome.result = Result::kServed;
--- a/examples/quickstart.sh
+++ b/examples/quickstart.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Builds forkwick, starts three stand-in services and the gateway on loopback, sends a request through every route,
-# prints what went where, and ends all that it started. Needs no privileges once the packages are there.
+# Builds forkwick, starts three sample services and the gateway on loopback, sends a request through every route,
+# prints the answers, and stops all processes that it started. Needs no privileges once the packages are installed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash tools/packages.sh build
@@ -18,10 +18,10 @@
 }
 trap end EXIT
 
-echo "== the file"
+echo "== checking the operators' file"
 "$bin"/forkwick check examples/quickstart.toml
 
-echo "== three services of four hosts, and the gateway"
+echo "== starting three services with four hosts, and the gateway"
 "$bin"/standin serve basket-1 127.0.0.1:8481 basket-2 127.0.0.1:8482 menu-1 127.0.0.1:8483 slot-1 127.0.0.1:8484 &
 pids+=($!)
 "$bin"/forkwick run --config examples/quickstart.toml 2>"$log" &
@@ -31,9 +31,9 @@
   sleep 0.05
 done
 
-echo "== a request through every route"
+echo "== sending a request through every route"
 failed=0
-ask() {  # expected words, method, host, path, body
+ask() {  # ask PATTERN METHOD HOST PATH [BODY]: fails unless the answer matches the pattern
   local answer
   answer=$("$bin"/standin ask 127.0.0.1:8480 "$2" "$3" "$4" "${5:-}" 2>&1 || true)
   printf '%-6s %-30s %-22s ->  %s\n' "$2" "$3" "$4" "$answer"
@@ -48,11 +48,11 @@
 ask '^404'                              GET  nobody.example.org           /
 ask '^400'                              GET  any.example.org              /a%2f..%2fslots
 
-echo "== why that went where it went"
+echo "== explaining the route of a request"
 "$bin"/forkwick route examples/quickstart.toml --host baskets.galicia.example.org --path /pause --method POST
 
 if [ "$failed" -ne 0 ]; then
-  echo "the gateway said:"
+  echo "the gateway's log:"
   cat "$log"
   exit 1
 fi
--- a/examples/standin.cpp
+++ b/examples/standin.cpp
@@ -1,6 +1,8 @@
-// A stand-in service for trying forkwick out: answers every request with its name, and what it was asked.
-//   standin serve NAME ADDRESS:PORT [NAME ADDRESS:PORT ...]     until it is told to end
-//   standin ask ADDRESS:PORT METHOD HOST PATH [BODY]            one request; prints the answer
+// A sample backend and client for trying forkwick out. The backend answers every request with its name, the
+// method and the target.
+//   standin serve NAME ADDRESS:PORT [NAME ADDRESS:PORT ...]     serves until SIGTERM or SIGINT
+//   standin ask ADDRESS:PORT METHOD HOST PATH [BODY]            sends one request and prints the status and
+//   body
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
--- a/tests/adapter.sh
+++ b/tests/adapter.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The adapter as a process: a good batch is answered; a malformed line, or input that ends inside a
-# line or a batch, is named in one line on standard error, with a nonzero exit and nothing further
-# on standard output. Usage: adapter.sh COMMAND
+# Tests the simulator adapter as a process. It must answer a valid batch. On a malformed line, or input
+# that ends inside a line or a batch, it must print one line with the line number on standard error, print
+# nothing more on standard output, and exit with a nonzero status. Usage: adapter.sh COMMAND
 set -euo pipefail
 command=$1
 work=$(mktemp -d)
@@ -12,20 +12,20 @@
 start="TURN 1\nINSTANCE 1\nCREATE 5 $settings\nSNAPSHOT_ROWS 0 1\nENTRY h1 z k 0 up 1 -\nREGISTRY 0 1 C\nEOF_BATCH\n"
 count=0
 
-run_adapter() {  # run_adapter INPUT: sets $exit and leaves the two outputs in $work
+run_adapter() {  # run_adapter INPUT: sets $exit; the outputs are in $work/out and $work/err
   exit=0
   printf '%b' "$1" | sh -c "$command" >"$work/out" 2>"$work/err" || exit=$?
   count=$((count + 1))
 }
 fail() { echo "adapter: $1"; cat "$work/out" "$work/err"; exit 1; }
 
-expect_line() {  # expect_line WHAT INPUT LINE: the reply holds LINE
+expect_line() {  # expect_line WHAT INPUT LINE: the reply contains LINE
   run_adapter "$2"
   [ "$exit" -eq 0 ] || fail "$1: exit $exit"
   [ ! -s "$work/err" ] || fail "$1: not silent on standard error"
   grep -qx -- "$3" "$work/out" || fail "$1: no '$3'"
 }
-expect_error() {  # expect_error WHAT INPUT LINE_NUMBER REPLIES: refused with that line's number after so many replies
+expect_error() {  # expect_error WHAT INPUT LINE_NUMBER REPLIES: an error at that line after so many replies
   run_adapter "$2"
   [ "$exit" -ne 0 ] || fail "$1: exit 0"
   [ "$(wc -l <"$work/err")" -eq 1 ] || fail "$1: not one line on standard error"
--- a/tests/build_guard.sh
+++ b/tests/build_guard.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A header that changes while a build runs: the build must fail, and the next one must leave no object with the
-# old layout. Usage: build_guard.sh CMAKE_FOLDER
+# Tests cmake/UnchangedWhileBuilding.cmake: if a header changes during a build, the build must fail, and the next
+# build must leave no object with the old layout. Usage: build_guard.sh CMAKE_FOLDER
 set -euo pipefail
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
@@ -8,7 +8,7 @@
 echo 'struct Size { char c[8]; };' >"$work/src/size.hpp"
 printf '#include "size.hpp"\nint Early() { return sizeof(Size); }\n' >"$work/src/early.cpp"
 printf '#include "size.hpp"\nint Early();\nint main() { return Early() == sizeof(Size) ? 0 : 1; }\n' >"$work/src/late.cpp"
-# Compiles; but changes the header once, after the first object was made and while the second is being made.
+# A compiler launcher that changes the header once: after the first object has been compiled, and before the second.
 cat >"$work/launcher" <<'L'
 #!/bin/bash
 "$@" || exit
@@ -32,13 +32,14 @@
 L
 build() { WORK=$work cmake --build "$work/build" -j1 >"$work/log" 2>&1; }
 cmake -S "$work" -B "$work/build" -DGUARD=ON -DCMAKE_CXX_COMPILER_LAUNCHER="$work/launcher" >/dev/null
-if build; then echo "a build during which a header changed went through"; exit 1; fi
+if build; then echo "a build succeeded although a header changed during it"; exit 1; fi
 grep -q 'size.hpp changed while this was being built: build again' "$work/log" || { cat "$work/log"; exit 1; }
 build || { cat "$work/log"; exit 1; }
-"$work/build/program" || { echo "objects of two layouts were linked"; exit 1; }
-# Without the guard the same change leaves such a program behind, also after the next build.
+"$work/build/program" || { echo "objects with two layouts of a struct were linked"; exit 1; }
+# Without the check, the same change must still give a broken program, even after the next build; otherwise this
+# test would prove nothing.
 rm -rf "$work/build" "$work/changed"
 echo 'struct Size { char c[8]; };' >"$work/src/size.hpp"
 cmake -S "$work" -B "$work/build" -DGUARD=OFF -DCMAKE_CXX_COMPILER_LAUNCHER="$work/launcher" >/dev/null
 build && build
-if "$work/build/program"; then echo "the change that this test makes does no harm"; exit 1; fi
+if "$work/build/program"; then echo "without the check the program is not broken: the test proves nothing"; exit 1; fi
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# All checks of the project: the deploy file's own build, the tests in Release and under the
-# sanitizers, the consumer example against an installed copy, the adapter as a process, the format,
-# and the size of the policy. Run from anywhere; leaves its builds under build*/.
+# Runs all checks of the project: the format and the size of the decision module, the build of
+# deploy/balancer.toml, the tests in a Release build and under the sanitizers, the quickstart, the
+# consumer example against an installed copy, and the simulator adapter as a process. Can be run from
+# any directory; the builds stay in build*/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/packages.sh
+++ b/tools/packages.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Installs the Debian packages that a build ("build") or the tests besides ("tests") need, if any is missing.
+# Installs the Debian packages that are needed and missing. Usage: packages.sh build|tests; "tests" includes those for
+# the build.
 set -euo pipefail
 packages="g++ make cmake libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev"
 if [ "${1:-build}" = tests ]; then
