--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -18,20 +18,21 @@
 namespace opalswitch::testing {
 
 // A run of the program to its end.
-struct Said {
-  int code = -1;
-  std::string text;  // both streams
+struct ProgramResult {
+  int exit_code = -1;
+  std::string output;  // both streams
 };
 
-inline Said RunProgram(const std::string& arguments) {
-  Said said;
+inline ProgramResult RunProgram(const std::string& arguments) {
+  ProgramResult result;
   std::FILE* const pipe = popen((std::string(FORKWICK_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
-  if (pipe == nullptr) return said;
-  char part[4096];
-  for (std::size_t got = 0; (got = std::fread(part, 1, sizeof part, pipe)) > 0;) said.text.append(part, got);
+  if (pipe == nullptr) return result;
+  char buffer[4096];
+  for (std::size_t size = 0; (size = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;)
+    result.output.append(buffer, size);
   const int status = pclose(pipe);
-  said.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return said;
+  result.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
 class Process {
@@ -44,12 +45,12 @@
   };
   explicit Process(const Arguments& arguments) : Process(Variables{}, arguments) {}
   Process(const Variables& variables, const Arguments& arguments)
-      : errors_(::testing::TempDir() + "forkwick-err-" + std::to_string(getpid()) + "-" +
-                std::to_string(++count_)),
+      : stderr_path_(::testing::TempDir() + "forkwick-err-" + std::to_string(getpid()) + "-" +
+                     std::to_string(++count_)),
         pid_(fork()) {
     if (pid_ != 0) return;
     for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
-    if (std::freopen(errors_.c_str(), "w", stderr) == nullptr) _exit(99);
+    if (std::freopen(stderr_path_.c_str(), "w", stderr) == nullptr) _exit(99);
     std::vector<char*> argv = {const_cast<char*>(FORKWICK_PROGRAM)};
     for (const std::string& argument : arguments.list) argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
@@ -57,34 +58,34 @@
     _exit(98);
   }
   ~Process() {
-    if (!ended_) kill(pid_, SIGKILL);
+    if (!has_exited_) kill(pid_, SIGKILL);
     Wait();
-    std::remove(errors_.c_str());
+    std::remove(stderr_path_.c_str());
   }
 
   void Terminate() { kill(pid_, SIGTERM); }
   void Kill() { kill(pid_, SIGKILL); }
-  void HangUp() { kill(pid_, SIGHUP); }
-  bool Ended() {
-    if (!ended_) ended_ = waitpid(pid_, &status_, WNOHANG) == pid_;
-    return ended_;
+  void Hangup() { kill(pid_, SIGHUP); }
+  bool HasExited() {
+    if (!has_exited_) has_exited_ = waitpid(pid_, &status_, WNOHANG) == pid_;
+    return has_exited_;
   }
   int Wait() {  // the exit code; -1 if it was killed
-    if (!ended_) ended_ = waitpid(pid_, &status_, 0) == pid_;
+    if (!has_exited_) has_exited_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
-  std::string Errors() const {
+  std::string StandardError() const {
     std::stringstream text;
-    text << std::ifstream(errors_).rdbuf();
+    text << std::ifstream(stderr_path_).rdbuf();
     return text.str();
   }
 
  private:
   static inline int count_ = 0;
-  const std::string errors_;
+  const std::string stderr_path_;
   const pid_t pid_;
   int status_ = 0;
-  bool ended_ = false;
+  bool has_exited_ = false;
 };
 
 }  // namespace opalswitch::testing
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -12,20 +12,20 @@
 namespace opalswitch::testing {
 namespace {
 
-struct File {
-  explicit File(const std::string& text)
+struct TempFile {
+  explicit TempFile(const std::string& text)
       : path(::testing::TempDir() + "forkwick-process-" + std::to_string(getpid()) + ".json") {
     std::ofstream(path) << text;
   }
-  ~File() { std::remove(path.c_str()); }
+  ~TempFile() { std::remove(path.c_str()); }
   const std::string path;
 };
 
 // Guards the operator at a broken deployment: one line that names what is wrong, and no running gateway.
-TEST(Program, NamesWhatIsWrongInItsConfiguration) {
-  const auto config = [](const std::function<void(nlohmann::json&)>& spoil) {
+TEST(Program, InvalidConfigurationIsNamedInOneLineAndExitsWith1) {
+  const auto config = [](const std::function<void(nlohmann::json&)>& change) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
-    spoil(file);
+    change(file);
     return file.dump();
   };
   const std::vector<std::tuple<std::string, std::string, std::string>> cases = {
@@ -43,20 +43,20 @@
   };
   for (const auto& [text, listen, named] : cases) {
     SCOPED_TRACE(named + ": " + text);
-    const File file(text);
+    const TempFile file(text);
     Process process({{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
     EXPECT_EQ(process.Wait(), 1);
-    const std::string errors = process.Errors();
+    const std::string errors = process.StandardError();
     EXPECT_NE(errors.find(named), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
   Process process({{"NODE_LISTEN", "127.0.0.1:0"}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("NODE_CONFIG"), std::string::npos);
+  EXPECT_NE(process.StandardError().find("NODE_CONFIG"), std::string::npos);
 }
 
 // Guards a planned restart as the platform does it: SIGTERM with work in hand, the answer, exit code 0.
-TEST(Program, AnswersItsWorkOnSigtermAndExitsCleanly) {
+TEST(Program, SigtermCompletesRequestsInFlightAndExitsWith0) {
   asio::io_context io;
   Peer host(io), discovery(io);
   tcp::endpoint listen;
@@ -66,7 +66,7 @@
   }
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const TempFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
@@ -86,34 +86,35 @@
   host.requests[0].Answer(200, "done");
   EXPECT_EQ(client.Await().body(), "done");
   EXPECT_TRUE(client.AwaitEnd());
-  EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
+  EXPECT_TRUE(RunUntil(io, [&] { return process.HasExited(); }));
   EXPECT_EQ(process.Wait(), 0);
 }
 
 // Guards a changed configuration: SIGHUP ends nothing, a broken file changes nothing and is told in one line,
 // and the file's discovery wins over the environment's, which still names the old one.
-TEST(Program, FollowsItsConfigurationOnSighup) {
+TEST(Program, SighupReloadsConfigurationAndIgnoresBrokenFile) {
   asio::io_context io;
   Peer old(io), moved(io);
   nlohmann::json config = {{"seed", "1f"}, {"listen", "127.0.0.1:0"}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const TempFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path}, {"NODE_DISCOVERY", ToText(old.address())}});
   ASSERT_TRUE(RunUntil(io, [&] { return old.requests.size() == 1; }));
   std::ofstream(file.path) << "{\"discovery\":";
-  process.HangUp();
-  ASSERT_TRUE(RunUntil(io, [&] { return !process.Errors().empty() && process.Errors().back() == '\n'; }));
-  const std::string errors = process.Errors();
+  process.Hangup();
+  ASSERT_TRUE(RunUntil(
+      io, [&] { return !process.StandardError().empty() && process.StandardError().back() == '\n'; }));
+  const std::string errors = process.StandardError();
   EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   EXPECT_FALSE(old.connections[0]->ended);
   config["discovery"] = ToText(moved.address());
   std::ofstream(file.path) << config.dump();
-  process.HangUp();
+  process.Hangup();
   ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 1; }));
   EXPECT_TRUE(RunUntil(io, [&] { return old.connections[0]->ended; }));
-  process.HangUp();
+  process.Hangup();
   process.Terminate();
-  process.HangUp();
-  EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
+  process.Hangup();
+  EXPECT_TRUE(RunUntil(io, [&] { return process.HasExited(); }));
   EXPECT_EQ(process.Wait(), 0);
   EXPECT_EQ(moved.requests.size(), 1u);
 }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -14,12 +14,12 @@
 using routing::Route;
 using routing::RouteTable;
 
-std::string Normal(std::string_view path) {
+std::string Normalize(std::string_view path) {
   std::string error;
   return routing::NormalizePath(path, error).value_or("refused: " + error);
 }
 
-TEST(Paths, HaveOneNormalForm) {
+TEST(NormalizePath, EquivalentPathsHaveOneForm) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"/", "/"},
       {"/a/b", "/a/b"},
@@ -39,21 +39,21 @@
       {"/.a/..b", "/.a/..b"},
       {"/a;x=1/b,c:d@e!$&'()*+=", "/a;x=1/b,c:d@e!$&'()*+="},
   };
-  for (const auto& [path, normal] : cases) EXPECT_EQ(Normal(path), normal) << path;
+  for (const auto& [path, normal] : cases) EXPECT_EQ(Normalize(path), normal) << path;
 }
 
-TEST(Paths, AreRefusedThatTwoReadersCouldTakeForTwo) {
+TEST(NormalizePath, AmbiguousPathsAreRefused) {
   for (const std::string path :
        {"",        "a",         "/%",         "/%4",           "/%zz",       "/%00",          "/%0d%0a",
         "/%7f",    "/a b",      "/a\\b",      "/a\"b",         "/a#b",       "/<a>",          "/a?b",
         "/%c0%af", "/%c1%9c",   "/%e0%80%af", "/%f0%80%80%af", "/%ed%a0%80", "/%f4%90%80%80", "/%ff",
         "/%c3",    "/\xc3\xa9", "/a\x01",     "/a\x7f"}) {
-    EXPECT_EQ(Normal(path).substr(0, 8), "refused:") << path;
+    EXPECT_EQ(Normalize(path).substr(0, 8), "refused:") << path;
   }
 }
 
 // Seeded random input: no crash, no hang, and normalising twice changes nothing.
-TEST(Paths, NormaliseOnceForAllWithRandomInput) {
+TEST(NormalizePath, RandomInputIsRefusedOrNormalizedOnce) {
   std::mt19937 random(7);
   const std::vector<std::string> parts = {"/",  ".", "..", "//", "%2e", "%2F", "%5c", "%25",
                                           "%",  "a", "Z~", ";x", "%c3", "%a9", "%C0", "%af",
@@ -72,7 +72,7 @@
       continue;
     }
     ++good;
-    EXPECT_EQ(Normal(*normal), *normal) << path;
+    EXPECT_EQ(Normalize(*normal), *normal) << path;
     EXPECT_EQ(normal->find("//"), std::string::npos) << path;
     EXPECT_EQ((*normal + "/").find("/../"), std::string::npos) << path;
     for (const std::string& reading : routing::AlternativeReadings(*normal)) {
@@ -83,7 +83,7 @@
   EXPECT_GT(good, 20000u);
 }
 
-TEST(Paths, TellWhatAHostMayTakeThemFor) {
+TEST(AlternativeReadings, ListPathsThatAHostMayDecodeTo) {
   const auto has = [](std::string_view path, const std::string& reading) {
     const auto all = routing::AlternativeReadings(path);
     return std::find(all.begin(), all.end(), reading) != all.end();
@@ -102,7 +102,7 @@
   std::string method, text, host, path, query;
 };
 
-TEST(Targets, AreReadInTheirFourForms) {
+TEST(ParseTarget, FourFormsAreParsed) {
   const std::vector<TargetCase> cases = {
       {"GET", "/a/b?c=/d?e", "", "/a/b", "?c=/d?e"},
       {"GET", "http://Ex.Org:8080/a?b", "ex.org", "/a", "?b"},
@@ -122,7 +122,7 @@
   }
 }
 
-TEST(Targets, AreRefusedThatHaveNoMeaning) {
+TEST(ParseTarget, MalformedTargetsAreRefused) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"GET", ""},
       {"GET", "*"},
@@ -148,7 +148,7 @@
   }
 }
 
-TEST(Authorities, AreFoldedAndChecked) {
+TEST(ParseAuthority, HostIsNormalizedAndMalformedOnesAreRefused) {
   const auto read = [](std::string_view text) {
     std::string error;
     const auto authority = routing::ParseAuthority(text, error);
@@ -174,31 +174,31 @@
   return route;
 }
 
-std::string Taken(const RouteTable& table, std::string_view host, std::string_view path,
-                  std::string_view method = "GET", std::string_view cls = "",
-                  std::vector<std::pair<std::string_view, std::string_view>> headers = {}) {
+std::string MatchedRoute(const RouteTable& table, std::string_view host, std::string_view path,
+                         std::string_view method = "GET", std::string_view cls = "",
+                         std::vector<std::pair<std::string_view, std::string_view>> headers = {}) {
   const auto match = table.Match({host, path, method, cls, "", std::move(headers)});
   return match ? table.routes()[*match].id : "none";
 }
 
-TEST(Routes, AreTakenInTheOrderOfTheFile) {
+TEST(RouteTable, FirstMatchingRouteWins) {
   Route exact = MakeRoute("exact", {"a.org"});
   exact.paths = {{false, "/x"}};
   const RouteTable table({exact, MakeRoute("wild", {"*.org"}, "/x"), MakeRoute("deep", {"a.org"}, "/x/y/z"),
                           MakeRoute("host", {"a.org"}), MakeRoute("rest", {})});
-  EXPECT_EQ(Taken(table, "a.org", "/x"), "exact");
-  EXPECT_EQ(Taken(table, "a.org", "/x/"), "wild");
-  EXPECT_EQ(Taken(table, "a.org", "/x/y/z/w"), "wild");
-  EXPECT_EQ(Taken(table, "a.org", "/xy"), "host");
-  EXPECT_EQ(Taken(table, "b.a.org", "/x/1"), "wild");
-  EXPECT_EQ(Taken(table, "org", "/x/1"), "rest");
-  EXPECT_EQ(Taken(table, "", "/"), "rest");
+  EXPECT_EQ(MatchedRoute(table, "a.org", "/x"), "exact");
+  EXPECT_EQ(MatchedRoute(table, "a.org", "/x/"), "wild");
+  EXPECT_EQ(MatchedRoute(table, "a.org", "/x/y/z/w"), "wild");
+  EXPECT_EQ(MatchedRoute(table, "a.org", "/xy"), "host");
+  EXPECT_EQ(MatchedRoute(table, "b.a.org", "/x/1"), "wild");
+  EXPECT_EQ(MatchedRoute(table, "org", "/x/1"), "rest");
+  EXPECT_EQ(MatchedRoute(table, "", "/"), "rest");
   EXPECT_EQ(table.ShadowedBy(2), 1u);
   EXPECT_FALSE(table.ShadowedBy(3));
   EXPECT_FALSE(table.ShadowedBy(4));
 }
 
-TEST(Routes, GoByMethodClassAndHeaders) {
+TEST(RouteTable, MethodClassAndHeadersMustMatch) {
   Route post = MakeRoute("post", {}, "/a");
   post.methods = {"POST", "PUT"};
   Route cls = MakeRoute("class", {}, "/a");
@@ -209,12 +209,12 @@
   Route any = MakeRoute("any", {}, "/a");
   any.headers = {{"X-Any", HeaderCondition::Kind::kPresent, ""}};
   const RouteTable table({post, cls, beta, any});
-  EXPECT_EQ(Taken(table, "h", "/a", "PUT"), "post");
-  EXPECT_EQ(Taken(table, "h", "/a", "GET", "view"), "class");
-  EXPECT_EQ(Taken(table, "h", "/a", "GET", "", {{"x-beta", "1"}}), "beta");
-  EXPECT_EQ(Taken(table, "h", "/a", "GET", "", {{"x-beta", "1"}, {"x-old", ""}}), "none");
-  EXPECT_EQ(Taken(table, "h", "/a", "GET", "", {{"x-any", "whatever"}}), "any");
-  EXPECT_EQ(Taken(table, "h", "/a"), "none");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a", "PUT"), "post");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a", "GET", "view"), "class");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a", "GET", "", {{"x-beta", "1"}}), "beta");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a", "GET", "", {{"x-beta", "1"}, {"x-old", ""}}), "none");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a", "GET", "", {{"x-any", "whatever"}}), "any");
+  EXPECT_EQ(MatchedRoute(table, "h", "/a"), "none");
   EXPECT_EQ(table.header_names(), (std::vector<std::string>{"x-beta", "x-old", "x-any"}));
   const auto reasons = table.Explain({"h", "/a", "GET", "", "", {{"x-beta", "2"}}});
   ASSERT_EQ(reasons.size(), 4u);
@@ -224,7 +224,7 @@
   EXPECT_EQ(reasons[3], "header x-any is missing");
 }
 
-TEST(Routes, ThatCanNotBeReachedAreFound) {
+TEST(RouteTable, UnreachableRoutesAreFound) {
   Route get = MakeRoute("get", {"a.org"}, "/x");
   get.methods = {"GET"};
   Route both = MakeRoute("both", {"a.org"}, "/x");
@@ -243,34 +243,34 @@
 }
 
 // The definition, word for word: what the compiled table has to agree with.
-bool Takes(const Route& route, const routing::Request& request) {
+bool MatchesByDefinition(const Route& route, const routing::Request& request) {
   const auto any = [](const auto& list, auto holds) {
     return list.empty() || std::any_of(list.begin(), list.end(), holds);
   };
   const std::string host(request.host), path(request.path);
-  const auto takes_host = [&](const std::string& p) {
+  const auto matches_host = [&](const std::string& p) {
     if (p[0] != '*') return host == p;
     const std::string end = p.substr(1);
     return host.size() > end.size() && host.compare(host.size() - end.size(), end.size(), end) == 0;
   };
-  const auto takes_path = [&](const routing::PathCondition& p) {
+  const auto matches_path = [&](const routing::PathCondition& p) {
     return path == p.text || (p.is_prefix && path.compare(0, p.text.size() + 1, p.text + "/") == 0);
   };
-  const auto takes_header = [&](const HeaderCondition& c) {
+  const auto matches_header = [&](const HeaderCondition& c) {
     const auto found = std::find_if(request.headers.begin(), request.headers.end(),
                                     [&](const auto& header) { return header.first == c.name; });
     if (found == request.headers.end()) return c.kind == HeaderCondition::Kind::kAbsent;
     return c.kind == HeaderCondition::Kind::kPresent ||
            (c.kind == HeaderCondition::Kind::kEquals && found->second == c.value);
   };
-  return any(route.hosts, takes_host) && any(route.paths, takes_path) &&
+  return any(route.hosts, matches_host) && any(route.paths, matches_path) &&
          any(route.methods, [&](const auto& m) { return m == request.method; }) &&
          any(route.classes, [&](const auto& c) { return c == request.class_name; }) &&
-         std::all_of(route.headers.begin(), route.headers.end(), takes_header);
+         std::all_of(route.headers.begin(), route.headers.end(), matches_header);
 }
 
 // The compiled table against the definition: every route tried in turn.
-TEST(Routes, AgreeWithTryingThemOneByOneOnRandomTables) {
+TEST(RouteTable, AgreesWithLinearSearchOnRandomTables) {
   std::mt19937 random(11);
   const std::vector<std::string> hosts = {"a.org", "b.a.org", "*.org", "*.a.org", "c.net", "*.net", "org"};
   const std::vector<std::string> paths = {"/a", "/a/b", "/a/b/c", "/b", "/ab", "/a/c"};
@@ -302,7 +302,7 @@
       if (random() % 2 == 0) request.headers.push_back({"x-k", random() % 2 == 0 ? "1" : "2"});
       std::optional<std::size_t> first;
       for (std::size_t i = 0; i < routes.size() && !first; ++i) {
-        if (Takes(routes[i], request)) first = i;
+        if (MatchesByDefinition(routes[i], request)) first = i;
       }
       ASSERT_EQ(table.Match(request), first) << host << path << method;
       matched += first.has_value();
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -14,11 +14,11 @@
 using config::ParseServices;
 
 // A good file with one line more, or one line other.
-std::string File(const std::string& more = "") {
+std::string FileWith(const std::string& pool_lines = "") {
   return kListenerAndClasses + R"([[pool]]
 id = "one"
 host = [{ id = "a", address = "127.0.0.1:9001" }]
-)" + more +
+)" + pool_lines +
          R"([[route]]
 id = "all"
 pool = "one"
@@ -26,13 +26,13 @@
 )";
 }
 
-std::string Said(const config::ParsedServices& parsed) {
+std::string FormatIssues(const config::ParsedServices& parsed) {
   std::string text;
   for (const config::Issue& issue : parsed.issues) text += issue.ToString() + "\n";
   return text;
 }
 
-TEST(Units, NeedTheirUnit) {
+TEST(Units, NumbersWithoutUnitAreRefused) {
   EXPECT_EQ(config::ParseDuration("250ms"), 250);
   EXPECT_EQ(config::ParseDuration("1.5s"), 1500);
   EXPECT_EQ(config::ParseDuration("500us"), 0.5);
@@ -49,16 +49,16 @@
   }
 }
 
-TEST(ServicesFile, SaysWhatItSays) {
+TEST(ServicesFile, GivesValuesAndDefaults) {
   const auto parsed =
-      ParseServices(File("attempts = 2\nlimits = { in_flight = 7, queue = 3, requests_per_second = 5, "
-                         "answer_body = \"1MiB\", clients = { guaranteed = 9, most = 20 } }\n"
-                         "effects = { view = \"unsafe\" }\ntimeouts = { dial = \"1s\" }\n"),
+      ParseServices(FileWith("attempts = 2\nlimits = { in_flight = 7, queue = 3, requests_per_second = 5, "
+                             "answer_body = \"1MiB\", clients = { guaranteed = 9, most = 20 } }\n"
+                             "effects = { view = \"unsafe\" }\ntimeouts = { dial = \"1s\" }\n"),
                     "f.toml", "");
-  ASSERT_TRUE(parsed.services) << Said(parsed);
-  const config::Services& s = *parsed.services;
-  ASSERT_EQ(s.pools.size(), 1u);
-  const config::Pool& pool = s.pools[0];
+  ASSERT_TRUE(parsed.services) << FormatIssues(parsed);
+  const config::Services& services = *parsed.services;
+  ASSERT_EQ(services.pools.size(), 1u);
+  const config::Pool& pool = services.pools[0];
   EXPECT_EQ(pool.settings.max_attempts, 2);
   EXPECT_EQ(pool.settings.max_in_flight, 7);
   EXPECT_EQ(pool.limits.max_active, 10u);
@@ -68,32 +68,32 @@
   EXPECT_EQ(pool.clients.guaranteed, 9u);
   EXPECT_EQ(pool.clients.max, 20u);
   EXPECT_EQ(pool.dial_timeout, 1000);
-  EXPECT_EQ(pool.settings.classes[0].effect, Effect::kUnsafe);  // the pool's
-  EXPECT_EQ(s.classes[0].settings.effect, Effect::kSafe);       // the class's
-  EXPECT_EQ(s.classes[0].methods, (std::vector<std::string>{"GET", "HEAD", "OPTIONS"}));
+  EXPECT_EQ(pool.settings.classes[0].effect, Effect::kUnsafe);    // the pool's
+  EXPECT_EQ(services.classes[0].settings.effect, Effect::kSafe);  // the class's
+  EXPECT_EQ(services.classes[0].methods, (std::vector<std::string>{"GET", "HEAD", "OPTIONS"}));
   EXPECT_EQ(pool.membership.hosts[0].server.id, "a");
-  EXPECT_EQ(s.routes[0].class_index, 0);
+  EXPECT_EQ(services.routes[0].class_index, 0);
 }
 
-TEST(ServicesFile, ShippedAsExampleIsGood) {
+TEST(ServicesFile, ShippedExampleIsValid) {
   std::ifstream stream(std::string(SOURCE_FOLDER) + "/deploy/services.example.toml");
   std::stringstream text;
   text << stream.rdbuf();
   const auto parsed = ParseServices(text.str(), "services.example.toml", "/etc/forkwick");
-  ASSERT_TRUE(parsed.services) << Said(parsed);
+  ASSERT_TRUE(parsed.services) << FormatIssues(parsed);
   EXPECT_EQ(parsed.services->pools.size(), 3u);
   EXPECT_EQ(parsed.services->pools[1].membership.file, "/etc/forkwick/menus.hosts.json");
   EXPECT_EQ(parsed.services->pools[2].settings.tenants[0].quota_per_s, 20);
 }
 
-struct Fault {
-  std::string more;      // added to the pool
-  std::string expected;  // the beginning of its line, with its place, and words that must be in it
-  std::string word;
+struct ExpectedIssue {
+  std::string pool_lines;  // added to the pool
+  std::string prefix;      // the beginning of its line, with its place, and words that must be in it
+  std::string substring;
 };
 
-TEST(ServicesFile, NamesPlaceValueAndWhatWasExpectedOfEachFault) {
-  const std::vector<Fault> faults = {
+TEST(ServicesFile, EachIssueHasPositionValueAndExpectation) {
+  const std::vector<ExpectedIssue> cases = {
       {"atempts = 2\n", "f.toml:17:1: pool.one.atempts: ", "did you mean 'attempts'"},
       {"attempts = \"2\"\n", "f.toml:17:12: pool.one.attempts: found \"2\"", "whole number from 1 to 16"},
       {"attempts = 99\n", "f.toml:17:12: pool.one.attempts: found 99", "from 1 to 16"},
@@ -142,45 +142,46 @@
       {"x = \n", "f.toml:17:", ""},
       {"id = \"again\"\n", "f.toml:17:", "id"},
   };
-  for (const Fault& fault : faults) {
-    SCOPED_TRACE(fault.more);
-    const auto parsed = ParseServices(File(fault.more), "f.toml", "");
+  for (const ExpectedIssue& c : cases) {
+    SCOPED_TRACE(c.pool_lines);
+    const auto parsed = ParseServices(FileWith(c.pool_lines), "f.toml", "");
     EXPECT_FALSE(parsed.services);
-    bool told = false;
+    bool is_reported = false;
     for (const config::Issue& issue : parsed.issues) {
       const std::string text = issue.ToString();
-      told = told || (text.starts_with(fault.expected) && text.find(fault.word) != std::string::npos);
+      is_reported =
+          is_reported || (text.starts_with(c.prefix) && text.find(c.substring) != std::string::npos);
       EXPECT_EQ(text.find('\n'), std::string::npos) << text;
     }
-    EXPECT_TRUE(told) << "expected " << fault.expected << " ... " << fault.word << "\nsaid:\n"
-                      << Said(parsed);
+    EXPECT_TRUE(is_reported) << "expected " << c.prefix << " ... " << c.substring << "\nsaid:\n"
+                             << FormatIssues(parsed);
   }
 }
 
-TEST(ServicesFile, TellsAllFaultsInOneRun) {
+TEST(ServicesFile, AllIssuesAreReportedInOneRun) {
   const auto parsed = ParseServices(
       "[[listener]]\nid = 3\n[[class]]\nid = \"c\"\naim = \"x\"\n[[pool]]\nid = \"p\"\nwhat = "
       "1\n[[route]]\npool = \"q\"\n",
       "f.toml", "");
-  const std::string said = Said(parsed);
+  const std::string issues = FormatIssues(parsed);
   for (const char* const word : {"f.toml:2:6", "listener[0].address: missing", "class.c.effect: missing",
                                  "class.c.aim: found", "class.c.deadline: missing", "pool.p.what",
                                  "pool.p.host: missing", "pool: found \"q\"", "class: missing"}) {
-    EXPECT_NE(said.find(word), std::string::npos) << word << "\n" << said;
+    EXPECT_NE(issues.find(word), std::string::npos) << word << "\n" << issues;
   }
   EXPECT_GE(parsed.issues.size(), 9u);
   const auto empty = ParseServices("", "f.toml", "");
-  EXPECT_EQ(empty.issues.size(), 4u) << Said(empty);
+  EXPECT_EQ(empty.issues.size(), 4u) << FormatIssues(empty);
   for (std::size_t i = 1; i < parsed.issues.size(); ++i) {
     EXPECT_LE(parsed.issues[i - 1].line, parsed.issues[i].line);  // in the order of the file
   }
 }
 
 // Seeded random input: no crash, no hang; a file is either good or has a fault with a line of text.
-TEST(ServicesFile, SurvivesRandomInput) {
+TEST(ServicesFile, RandomInputIsValidOrHasIssues) {
   std::mt19937 random(5);
   const std::string good =
-      File("attempts = 2\neffects = { view = \"unsafe\" }\nlimits = { in_flight = 4, queue = 1 }\n");
+      FileWith("attempts = 2\neffects = { view = \"unsafe\" }\nlimits = { in_flight = 4, queue = 1 }\n");
   const std::vector<std::string> words = {
       "[[pool]]", "[pool.limits]", "\"",   "'", "=", "{", "}",    "[",   "]",   "\n", "id", "1e999",
       "-1",       "\"1s\"",        "true", "#", ".", ",", "\xff", "\0x", "host"};
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -49,13 +49,13 @@
   static int PortOf(const Process& process) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      const std::string said = process.Errors(), mark = "serves xDS at 127.0.0.1:";
+      const std::string said = process.StandardError(), mark = "serves xDS at 127.0.0.1:";
       const std::size_t at = said.find(mark);
       if (at != std::string::npos && said.find('\n', at) != std::string::npos)
         return std::stoi(said.substr(at + mark.size()));
       std::this_thread::yield();
     }
-    ADD_FAILURE() << process.Errors();
+    ADD_FAILURE() << process.StandardError();
     return 0;
   }
   Process::Arguments Run() const { return {{"run", "--config", folder + "/f.toml"}}; }
@@ -71,29 +71,29 @@
   XdsClient client(port, true, "proxy-1");
   ASSERT_TRUE(MakeWhole(client));
   EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1"));
-  const Said status = RunProgram("status --json " + world.Socket());
-  ASSERT_EQ(status.code, 0) << status.text;
-  const auto json = nlohmann::json::parse(status.text);
+  const ProgramResult status = RunProgram("status --json " + world.Socket());
+  ASSERT_EQ(status.exit_code, 0) << status.output;
+  const auto json = nlohmann::json::parse(status.output);
   EXPECT_EQ(json["pools"].size(), 2u);
   EXPECT_EQ(json["pools"][0]["strict"], true);
   EXPECT_EQ(json["proxies"][0]["id"], "proxy-1");
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 0);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_NE(drain.text.find("a is drained"), std::string::npos) << drain.text;
+  EXPECT_EQ(RunProgram("status " + world.Socket()).exit_code, 0);
+  const ProgramResult drain = RunProgram("drain a --wait " + world.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
+  EXPECT_NE(drain.output.find("a is drained"), std::string::npos) << drain.output;
   EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
   EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
-  EXPECT_EQ(RunProgram("drain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain a " + world.Socket()).code, 0);
+  EXPECT_EQ(RunProgram("drain nobody " + world.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain nobody " + world.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain a " + world.Socket()).exit_code, 0);
   ASSERT_TRUE(client.Await([&] { return client.RoutesAsHeld("one", "10.0.0.1"); }));
   // Its membership is followed.
   world.Save("hosts.json", World::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
   ASSERT_TRUE(client.Await([&] { return !client.RoutesAsHeld("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 1);  // nobody answers
-  EXPECT_EQ(RunProgram("status").code, 2);
+  EXPECT_EQ(RunProgram("status " + world.Socket()).exit_code, 1);  // nobody answers
+  EXPECT_EQ(RunProgram("status").exit_code, 2);
 }
 
 TEST(ControlCommand, ADrainWaitsForAProxyThatDoesNotAnswerAndNamesIt) {
@@ -104,9 +104,9 @@
   client.Connect();
   client.Subscribe(Type::kEndpoint, {"two"});  // static: no lease ends the wait
   ASSERT_TRUE(client.Await([&] { return client.held(Type::kEndpoint).size() == 1; }));
-  const Said drain = RunProgram("drain a --wait --timeout 4 " + world.Socket());
-  EXPECT_EQ(drain.code, 4) << drain.text;
-  EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
+  const ProgramResult drain = RunProgram("drain a --wait --timeout 4 " + world.Socket());
+  EXPECT_EQ(drain.exit_code, 4) << drain.output;
+  EXPECT_NE(drain.output.find("waits for mute, which has not answered"), std::string::npos) << drain.output;
 }
 
 // Guards the 500 ms: whoever was told nothing by either process must have stopped, and the new one must know.
@@ -122,15 +122,15 @@
   ASSERT_TRUE(deaf.Await([&] { return deaf.Routes("one", "10.0.0.1", true); }));
   // From here on it takes nothing in; it goes by its lease.
   deaf.Ignore();
-  ASSERT_EQ(RunProgram("drain a " + world.Socket()).code, 0);
+  ASSERT_EQ(RunProgram("drain a " + world.Socket()).exit_code, 0);
   process->Kill();
   process->Wait();
   ASSERT_TRUE(client.Await([&] { return client.ended(); }));
   client.Drop();
   process.emplace(world.Run());
   ASSERT_EQ(World::PortOf(*process), port);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
+  const ProgramResult drain = RunProgram("drain a --wait " + world.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
   EXPECT_FALSE(deaf.Routes("one", "10.0.0.1"));  // its lease has run out before the wait was over
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0 && IsWhole(client); }));
@@ -160,12 +160,13 @@
   world.Save("drains.json", "{\"drained\": 7}");
   Process process(world.Run());
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("drains.json: drained: missing, expected"), std::string::npos)
-      << process.Errors();
+  EXPECT_NE(process.StandardError().find("drains.json: drained: missing, expected"), std::string::npos)
+      << process.StandardError();
   world.Save("f.toml", World::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
   Process other(world.Run());
   EXPECT_EQ(other.Wait(), 1);
-  EXPECT_NE(other.Errors().find("control.group.g.pools: found"), std::string::npos) << other.Errors();
+  EXPECT_NE(other.StandardError().find("control.group.g.pools: found"), std::string::npos)
+      << other.StandardError();
 }
 
 }  // namespace
