--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -1,4 +1,4 @@
-// The command line as a process: checks, explanations, and a gateway run from an operators' file.
+// The subcommands of forkwick as a process: check, route and run.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -16,6 +16,7 @@
 
 constexpr char kExample[] = SOURCE_FOLDER "/deploy/services.example.toml";
 
+// Replaces the file in one step, so that the program never reads a part of it.
 std::string WriteTempFile(const std::string& name, const std::string& text) {
   const std::string path = ::testing::TempDir() + "forkwick-" + std::to_string(getpid()) + "-" + name;
   std::ofstream(path + ".new") << text;
@@ -23,6 +24,7 @@
   return path;
 }
 
+// Guards against issues that are not printed, or an exit code that hides them.
 TEST(Command, CheckPrintsIssuesAndSetsExitCode) {
   const ProgramResult good = RunProgram(std::string("check ") + kExample);
   EXPECT_EQ(good.exit_code, 0) << good.output;
@@ -43,6 +45,7 @@
   std::remove(path.c_str());
 }
 
+// Guards against a wrong route, reason or exit code in the explanation of a request.
 TEST(Command, RoutePrintsMatchAndSetsExitCode) {
   const std::string file = std::string("route ") + kExample;
   const ProgramResult menus = RunProgram(file + " --host Menus.Galicia.Example.org:80 --path /today");
@@ -65,8 +68,8 @@
   EXPECT_EQ(RunProgram(file + " --path nothing").exit_code, 2);
 }
 
-// Guards a gateway in service: SIGHUP takes a good file whole, a broken one changes nothing, SIGTERM ends it
-// cleanly.
+// Guards against a reload that takes over a part of a file: on SIGHUP a valid file must take effect whole,
+// and a broken one must change nothing. SIGTERM must end the program with exit code 0.
 TEST(Command, RunReloadsOnSighupAndStopsOnSigterm) {
   asio::io_context io;
   Peer one(io), two(io);
@@ -113,6 +116,7 @@
   std::remove(path.c_str());
 }
 
+// Guards against a watched file whose change does not take effect without a signal.
 TEST(Command, RunReloadsWatchedFileWhenItChanges) {
   asio::io_context io;
   Peer one(io), two(io);
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -1,4 +1,4 @@
-// The program as a child process of a test, ended with it.
+// Helpers that run the program under test as a child process.
 #ifndef OPALSWITCH_TESTS_PROCESS_HPP_
 #define OPALSWITCH_TESTS_PROCESS_HPP_
 
@@ -17,12 +17,13 @@
 
 namespace opalswitch::testing {
 
-// A run of the program to its end.
+// The exit code and output of a finished run.
 struct ProgramResult {
   int exit_code = -1;
-  std::string output;  // both streams
+  std::string output;  // standard output and standard error
 };
 
+// Runs the program with these arguments (as in a shell) and waits for its end.
 inline ProgramResult RunProgram(const std::string& arguments) {
   ProgramResult result;
   std::FILE* const pipe = popen((std::string(FORKWICK_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
@@ -35,10 +36,11 @@
   return result;
 }
 
+// A running program. The destructor kills it if it has not exited.
 class Process {
  public:
   using Variables = std::vector<std::pair<std::string, std::string>>;
-  // Starts the program with the variables given; its standard error goes to a file.
+  // Starts the program with these environment variables; its standard error goes to a file.
   explicit Process(const Variables& variables) : Process(variables, Arguments{}) {}
   struct Arguments {
     std::vector<std::string> list;
@@ -70,7 +72,8 @@
     if (!has_exited_) has_exited_ = waitpid(pid_, &status_, WNOHANG) == pid_;
     return has_exited_;
   }
-  int Wait() {  // the exit code; -1 if it was killed
+  // Waits for the end and returns the exit code; -1 if a signal ended the program.
+  int Wait() {
     if (!has_exited_) has_exited_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: how it starts, what it says when it can't, and how it ends.
+// forkwick as a process on the platform: start, errors in the configuration, reload and stop.
 #include "process.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
   const std::string path;
 };
 
-// Guards the operator at a broken deployment: one line that names what is wrong, and no running gateway.
+// Guards against a gateway that starts with an invalid configuration, or fails without naming the variable or
+// field in one line.
 TEST(Program, InvalidConfigurationIsNamedInOneLineAndExitsWith1) {
   const auto config = [](const std::function<void(nlohmann::json&)>& change) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
@@ -55,12 +56,13 @@
   EXPECT_NE(process.StandardError().find("NODE_CONFIG"), std::string::npos);
 }
 
-// Guards a planned restart as the platform does it: SIGTERM with work in hand, the answer, exit code 0.
+// Guards against losing a request on a planned restart: SIGTERM arrives while a host is working on it; it
+// must be answered, and the exit code must be 0.
 TEST(Program, SigtermCompletesRequestsInFlightAndExitsWith0) {
   asio::io_context io;
   Peer host(io), discovery(io);
   tcp::endpoint listen;
-  {  // a port that is free now
+  {  // finds a free port
     tcp::acceptor probe(io, Loopback());
     listen = probe.local_endpoint();
   }
@@ -70,12 +72,12 @@
   Process process({{"NODE_CONFIG", file.path},
                    {"NODE_LISTEN", ToText(listen)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it listens by then
+  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it is listening by then
   Client client(io, listen);
   client.Send(ApiCall("r1", "pay"));
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
   process.Terminate();
-  // The work is answered only once the gateway is seen to be stopping.
+  // The host answers only after the gateway has started to stop.
   bool stopping = false;
   for (int i = 0; i < 1000 && !stopping; ++i) {
     Client probe(io, listen);
@@ -90,8 +92,9 @@
   EXPECT_EQ(process.Wait(), 0);
 }
 
-// Guards a changed configuration: SIGHUP ends nothing, a broken file changes nothing and is told in one line,
-// and the file's discovery wins over the environment's, which still names the old one.
+// Guards against a reload that drops connections, takes over a broken file, or keeps the old address of
+// discovery: SIGHUP must reload the file, report a broken one in one line, and prefer the file's discovery to
+// that of the environment, which still has the old address.
 TEST(Program, SighupReloadsConfigurationAndIgnoresBrokenFile) {
   asio::io_context io;
   Peer old(io), moved(io);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,5 @@
-// Targets, authorities and the route table: one meaning for each request, and the first route that takes it.
+// Request targets, authorities and the route table: each request must have one interpretation, and get the
+// first route that matches it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -52,7 +53,7 @@
   }
 }
 
-// Seeded random input: no crash, no hang, and normalising twice changes nothing.
+// Seeded random input: must not crash or hang, and normalizing a second time must change nothing.
 TEST(NormalizePath, RandomInputIsRefusedOrNormalizedOnce) {
   std::mt19937 random(7);
   const std::vector<std::string> parts = {"/",  ".", "..", "//", "%2e", "%2F", "%5c", "%25",
@@ -236,13 +237,13 @@
   two.methods = {"GET"};
   const RouteTable table({get, both, sub, two, get});
   EXPECT_FALSE(table.ShadowedBy(0));
-  EXPECT_FALSE(table.ShadowedBy(1));  // POST is left for it
+  EXPECT_FALSE(table.ShadowedBy(1));  // POST reaches it
   EXPECT_EQ(table.ShadowedBy(2), 1u);
-  EXPECT_FALSE(table.ShadowedBy(3));  // b.org is
+  EXPECT_FALSE(table.ShadowedBy(3));  // b.org reaches it
   EXPECT_EQ(table.ShadowedBy(4), 0u);
 }
 
-// The definition, word for word: what the compiled table has to agree with.
+// The definition of a match, written out: the compiled table must agree with it.
 bool MatchesByDefinition(const Route& route, const routing::Request& request) {
   const auto any = [](const auto& list, auto holds) {
     return list.empty() || std::any_of(list.begin(), list.end(), holds);
@@ -269,7 +270,7 @@
          std::all_of(route.headers.begin(), route.headers.end(), matches_header);
 }
 
-// The compiled table against the definition: every route tried in turn.
+// Guards against a compiled table that finds another route than trying each in turn by the definition.
 TEST(RouteTable, AgreesWithLinearSearchOnRandomTables) {
   std::mt19937 random(11);
   const std::vector<std::string> hosts = {"a.org", "b.a.org", "*.org", "*.a.org", "c.net", "*.net", "org"};
@@ -307,7 +308,7 @@
       ASSERT_EQ(table.Match(request), first) << host << path << method;
       matched += first.has_value();
       if (!first) continue;
-      // A route that takes a request can be reached.
+      // A route that matches a request can't be shadowed.
       EXPECT_FALSE(table.ShadowedBy(*first)) << *first;
       EXPECT_EQ(table.Explain(request).size(), *first);
       for (const std::string& why : table.Explain(request)) EXPECT_FALSE(why.empty());
--- a/tests/services_config_test.cpp
+++ b/tests/services_config_test.cpp
@@ -1,4 +1,4 @@
-// The operators' file: what it means, and that each fault in it is told with its place.
+// The operators' file: the values that it gives, and the issues that are reported for a broken one.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,7 +13,7 @@
 
 using config::ParseServices;
 
-// A good file with one line more, or one line other.
+// A valid file, with further lines in its pool.
 std::string FileWith(const std::string& pool_lines = "") {
   return kListenerAndClasses + R"([[pool]]
 id = "one"
@@ -88,8 +88,8 @@
 
 struct ExpectedIssue {
   std::string pool_lines;  // added to the pool
-  std::string prefix;      // the beginning of its line, with its place, and words that must be in it
-  std::string substring;
+  std::string prefix;      // how the line of the issue must start: position, field, value found
+  std::string substring;   // what it must contain as well
 };
 
 TEST(ServicesFile, EachIssueHasPositionValueAndExpectation) {
@@ -153,7 +153,7 @@
           is_reported || (text.starts_with(c.prefix) && text.find(c.substring) != std::string::npos);
       EXPECT_EQ(text.find('\n'), std::string::npos) << text;
     }
-    EXPECT_TRUE(is_reported) << "expected " << c.prefix << " ... " << c.substring << "\nsaid:\n"
+    EXPECT_TRUE(is_reported) << "expected " << c.prefix << " ... " << c.substring << "\nreported:\n"
                              << FormatIssues(parsed);
   }
 }
@@ -177,7 +177,7 @@
   }
 }
 
-// Seeded random input: no crash, no hang; a file is either good or has a fault with a line of text.
+// Seeded random input: must not crash or hang, and a file must be valid or have issues with a text.
 TEST(ServicesFile, RandomInputIsValidOrHasIssues) {
   std::mt19937 random(5);
   const std::string good =
