--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -143,15 +143,15 @@
         {std::string_view(header).substr(0, colon),
          value == std::string::npos ? std::string_view() : std::string_view(header).substr(value)});
   }
-  const auto match = services.table.Match(request);
-  const auto reasons = services.table.Explain(request);
+  const auto match = services.route_table.Match(request);
+  const auto reasons = services.route_table.Explain(request);
   for (std::size_t i = 0; i < reasons.size(); ++i) {
     std::printf("  not %s: %s\n", services.routes[i].match.id.c_str(), reasons[i].c_str());
   }
   for (const std::string& reading : routing::AlternativeReadings(target->path)) {
     routing::Request alternative = request;
     alternative.path = reading;
-    if (services.table.Match(alternative) == match) continue;
+    if (services.route_table.Match(alternative) == match) continue;
     std::printf("refused with 400: a host may take the path for %s, which goes elsewhere\n", reading.c_str());
     return kNoRoute;
   }
--- a/src/config/control.cpp
+++ b/src/config/control.cpp
@@ -9,6 +9,11 @@
 namespace opalswitch::config {
 namespace {
 
+// A proxy that can't be reached goes on using a pool with strict drain until its lease expires; a drain must
+// take effect within 500 ms.
+constexpr Millis kMaxLeaseMs = 450;
+constexpr std::size_t kMaxGroups = 1000;
+
 // Adds an issue if one of `names` is not an id that the file defines.
 void CheckNames(TableReader& reader, const char* key, const std::vector<std::string>& names,
                 const std::vector<std::string>& known) {
@@ -90,7 +95,7 @@
   if (control.heartbeat * 2 > control.lease)
     reader.AddIssue(reader.Has("heartbeat") ? "heartbeat" : "lease",
                     "a lease must last for at least two heartbeats");
-  if (control.lease > 450)
+  if (control.lease > kMaxLeaseMs)
     reader.AddInvalid(
         "lease", "450ms at most: a drain must take effect within 500ms at a proxy that can't be reached");
   if (const auto* const table = reader.Table("tls")) {
@@ -113,7 +118,7 @@
     if (!ids.insert(control.groups.back().id).second)
       group_reader.AddInvalid("id", "an id that no earlier group has");
   }
-  if (control.groups.size() > 1000)
+  if (control.groups.size() > kMaxGroups)
     reader.AddIssue("group",
                     "found " + std::to_string(control.groups.size()) + " groups, expected at most 1000");
   return control;
--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -15,12 +15,22 @@
 namespace {
 
 constexpr std::size_t kMaxListeners = 64;
+constexpr std::size_t kMaxClasses = 64;
+constexpr std::size_t kMaxTenants = 10000;
 constexpr std::size_t kMaxPools = 256;
 constexpr std::size_t kMaxRoutes = 100000;
 // Bodies are buffered whole.
 constexpr std::uint64_t kMaxConfigurableBodyBytes = 16 << 20;
 constexpr std::uint64_t kDefaultMaxBodyBytes = 64 << 10;
 constexpr double kDefaultLateWorth = 0.5;
+constexpr std::int64_t kDefaultMaxAttempts = 3;
+constexpr double kDefaultOverloadMultiple = 3;
+constexpr Millis kDefaultDialTimeoutMs = 250;
+constexpr Millis kDefaultIdleTimeoutMs = 15000;
+constexpr Millis kMaxRetryAfterMs = 30000;
+// Parts of process.descriptors that the pools may be guaranteed.
+constexpr double kGuaranteedDescriptorsFraction = 0.4;
+constexpr double kGuaranteedClientsFraction = 0.5;
 // Part of process.memory that bodies may take. A body is in memory twice while it is forwarded.
 constexpr double kBodyMemoryFraction = 0.15;
 
@@ -58,8 +68,8 @@
     if (const auto* const table = top.Table("process")) ReadProcess(*table);
     if (const auto* const table = top.Table("request")) ReadHeaders(*table);
     ReadEach(top, "listener", kMaxListeners, [&](TableReader& reader) { ReadListener(reader); });
-    ReadEach(top, "class", 64, [&](TableReader& reader) { ReadClass(reader); });
-    ReadEach(top, "tenant", 10000, [&](TableReader& reader) { ReadTenant(reader); });
+    ReadEach(top, "class", kMaxClasses, [&](TableReader& reader) { ReadClass(reader); });
+    ReadEach(top, "tenant", kMaxTenants, [&](TableReader& reader) { ReadTenant(reader); });
     ReadEach(top, "pool", kMaxPools, [&](TableReader& reader) { ReadPool(reader); });
     ReadEach(top, "route", kMaxRoutes, [&](TableReader& reader) { ReadRoute(reader); });
     if (const auto* const table = top.Table("control")) {
@@ -117,8 +127,8 @@
   void ReadProcess(const toml::table& table) {
     TableReader reader(table, "process", issues_);
     services_.descriptors =
-        static_cast<std::size_t>(reader.Integer("descriptors", 64, 10000000).value_or(1024));
-    services_.memory_bytes = reader.Size("memory").value_or(128 << 20);
+        static_cast<std::size_t>(reader.Integer("descriptors", 64, 10000000).value_or(kDefaultDescriptors));
+    services_.memory_bytes = reader.Size("memory").value_or(kDefaultMemoryBytes);
     services_.watches_file = reader.Flag("watch").value_or(false);
     services_.reports_cause = reader.Flag("tell_cause").value_or(true);
     services_.health_path = reader.String("health_path").value_or("");
@@ -331,25 +341,25 @@
       pool.body_memory = ReadBudgetShare(limits_reader, "body_memory", true);
     }
     if (in_flight > 0 && queue >= 0) pool.limits.max_active = static_cast<std::size_t>(in_flight + queue);
-    pool.dial_timeout = 250;
-    pool.idle_timeout = 15000;
+    pool.dial_timeout = kDefaultDialTimeoutMs;
+    pool.idle_timeout = kDefaultIdleTimeoutMs;
     if (const auto* const table = reader.Table("timeouts")) {
       TableReader timeouts_reader(*table, reader.PathOf("timeouts"), issues_);
-      pool.dial_timeout = timeouts_reader.Duration("dial").value_or(250);
-      pool.idle_timeout = timeouts_reader.Duration("idle").value_or(15000);
+      pool.dial_timeout = timeouts_reader.Duration("dial").value_or(kDefaultDialTimeoutMs);
+      pool.idle_timeout = timeouts_reader.Duration("idle").value_or(kDefaultIdleTimeoutMs);
     }
     pool.response_rules =
         static_cast<ResponseRules>(reader.Choice("answers", {"plain", "platform"}).value_or(0));
     pool.strict_drain = reader.Choice("drain", {"static", "strict"}).value_or(0) == 1;
     Settings& settings = pool.settings;
-    settings.max_attempts = static_cast<int>(reader.Integer("attempts", 1, 16).value_or(3));
+    settings.max_attempts = static_cast<int>(reader.Integer("attempts", 1, 16).value_or(kDefaultMaxAttempts));
     settings.max_in_flight = static_cast<int>(in_flight);
     settings.gateways = gateways_;
     settings.index = index_;
     settings.zone = zone_;
     settings.can_cancel = true;
     settings.sends_retry_after = true;
-    settings.max_retry_after = 30000;
+    settings.max_retry_after = kMaxRetryAfterMs;
     settings.clients_mark_retries = !services_.headers.retry.empty();
     settings.load_report_fields = reader.Strings("load_report");
     if (const auto* const table = reader.Table("cold")) {
@@ -359,7 +369,8 @@
                                "the fraction of its full load that a newly started host can take");
       settings.warm_up_time = cold_reader.Required("for", cold_reader.Duration("for"),
                                                    "the duration of a started host's warm-up, with its unit");
-      settings.overload_multiple = cold_reader.Number("fall_multiple", 0.1, 1000).value_or(3);
+      settings.overload_multiple =
+          cold_reader.Number("fall_multiple", 0.1, 1000).value_or(kDefaultOverloadMultiple);
       if (!(settings.cold_capacity_fraction > 0)) settings.cold_capacity_fraction = 1;
     }
     for (const ServiceClass& c : services_.classes) settings.classes.push_back(c.settings);
@@ -571,8 +582,9 @@
                                std::to_string(sum) + ", expected at most " + std::to_string(max) + ", " + of);
     };
     const auto descriptors_total = static_cast<double>(services_.descriptors);
-    check(descriptors, 0.4, descriptors_total, "descriptors", "40% of process.descriptors");
-    check(clients, 0.5, descriptors_total, "clients", "half of process.descriptors");
+    check(descriptors, kGuaranteedDescriptorsFraction, descriptors_total, "descriptors",
+          "40% of process.descriptors");
+    check(clients, kGuaranteedClientsFraction, descriptors_total, "clients", "half of process.descriptors");
     check(memory, kBodyMemoryFraction, static_cast<double>(services_.memory_bytes), "body_memory",
           "15% of process.memory");
   }
@@ -582,9 +594,9 @@
   void CheckRoutes() {
     std::vector<routing::Route> routes;
     for (const RouteRule& rule : services_.routes) routes.push_back(rule.match);
-    services_.table = routing::RouteTable(std::move(routes));
+    services_.route_table = routing::RouteTable(std::move(routes));
     for (std::size_t i = 0; i < services_.routes.size(); ++i) {
-      const auto shadowing = services_.table.ShadowedBy(i);
+      const auto shadowing = services_.route_table.ShadowedBy(i);
       if (!shadowing) continue;
       issues_.Add(route_locations_[i].first, "route." + services_.routes[i].match.id,
                   "can't be reached: route " + Quote(services_.routes[*shadowing].match.id) + " in line " +
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -103,13 +103,16 @@
   bool operator==(const RequestHeaders&) const = default;
 };
 
+constexpr std::size_t kDefaultDescriptors = 1024;
+constexpr std::uint64_t kDefaultMemoryBytes = 128 << 20;
+
 struct Services {
-  std::string file;                        // the path that issues and logs name
-  std::size_t descriptors = 1024;          // file descriptors that the process may use
-  std::uint64_t memory_bytes = 128 << 20;  // memory that the process may use
-  bool watches_file = false;               // reload when the file changes
-  std::string health_path;                 // path of the readiness check (GET); empty = none
-  bool reports_cause = true;               // refusals and failures carry their cause in a header
+  std::string file;                                  // the path that issues and logs name
+  std::size_t descriptors = kDefaultDescriptors;     // file descriptors that the process may use
+  std::uint64_t memory_bytes = kDefaultMemoryBytes;  // memory that the process may use
+  bool watches_file = false;                         // reload when the file changes
+  std::string health_path;                           // path of the readiness check (GET); empty = none
+  bool reports_cause = true;                         // refusals and failures carry their cause in a header
   RequestHeaders headers;
   ControlSettings control;
   std::vector<Listener> listeners;
@@ -117,7 +120,7 @@
   std::vector<Tenant> tenants;
   std::vector<Pool> pools;
   std::vector<RouteRule> routes;
-  routing::RouteTable table;  // compiled from `routes`, with the same indexes
+  routing::RouteTable route_table;  // compiled from `routes`, with the same indexes
 };
 
 struct ParsedServices {
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -11,6 +11,10 @@
 namespace opalswitch::config {
 namespace {
 
+constexpr std::size_t kMaxShownValueLength = 60;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr Millis kMaxDurationMs = 24 * 3600000.0;
+
 // Levenshtein distance.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
@@ -44,7 +48,7 @@
   }
   std::string text = out.str();
   std::replace(text.begin(), text.end(), '\n', ' ');
-  if (text.size() > 60) text = text.substr(0, 57) + "...";
+  if (text.size() > kMaxShownValueLength) text = text.substr(0, kMaxShownValueLength - 3) + "...";
   return text;
 }
 
@@ -111,7 +115,7 @@
   auto text = String(key);
   if (!text) return std::nullopt;
   const bool is_valid =
-      !text->empty() && text->size() <= 64 && std::all_of(text->begin(), text->end(), [](char c) {
+      !text->empty() && text->size() <= kMaxNameLength && std::all_of(text->begin(), text->end(), [](char c) {
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
                c == '_' || c == '-';
       });
@@ -155,7 +159,7 @@
   if (node == nullptr) return std::nullopt;
   const auto* const text = node->as_string();
   const auto value = text == nullptr ? std::nullopt : ParseDuration(text->get());
-  if (!value || (*value <= 0 && !allow_zero) || *value > 24 * 3600000.0) {
+  if (!value || (*value <= 0 && !allow_zero) || *value > kMaxDurationMs) {
     return AddInvalid(key, std::string("a duration with its unit, such as \"250ms\" or \"1.5s\", ") +
                                (allow_zero ? "up to a day" : "above 0 and up to a day")),
            std::nullopt;
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -346,16 +346,16 @@
   routing::Request request{
       target.authority.host, target.path, ToStringView(head.method_string()),
       names.class_name.empty() ? std::string_view() : ToStringView(head[names.class_name]), origin.listener};
-  for (const std::string& name : services.table.header_names()) {
+  for (const std::string& name : services.route_table.header_names()) {
     const auto count = head.count(name);
     if (count > 1) return fault(http::status::bad_request, name + " is repeated");
     if (count == 1) request.headers.push_back({name, ToStringView(head[name])});
   }
-  const auto match = services.table.Match(request);
+  const auto match = services.route_table.Match(request);
   for (const std::string& reading : routing::AlternativeReadings(target.path)) {
     routing::Request other = request;
     other.path = reading;
-    if (services.table.Match(other) != match) {
+    if (services.route_table.Match(other) != match) {
       return fault(http::status::bad_request, "the path would be another one once a host has decoded it");
     }
   }
