--- a/examples/standin.cpp
+++ b/examples/standin.cpp
@@ -68,7 +68,7 @@
   boost::beast::flat_buffer buffer;
   http::response_parser<http::string_body> response;
   response.skip(method == "HEAD");
-  http::read(socket, buffer, answer);
+  http::read(socket, buffer, response);
   std::string text = response.get().body();
   while (!text.empty() && text.back() == '\n') text.pop_back();
   std::printf("%u  %s\n", response.get().result_int(), text.c_str());
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -258,7 +258,7 @@
         clients_.Unlisten(listener.id, listener.address);
     }
     if (before->services->descriptors != services->descriptors ||
-        before->services->memory != services->memory ||
+        before->services->memory_bytes != services->memory_bytes ||
         before->services->health_path != services->health_path) {
       Say("process.descriptors, process.memory and process.health_path count from the next start");
     }
