--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -33,7 +33,7 @@
 // unlike on the platform, no front end counts idle connections against what its clients may open.
 HttpServerLimits HttpLimits(const config::Services& services) {
   HttpServerLimits limits =
-      HttpServerLimitsFor(services.descriptors, static_cast<double>(services.memory) / (1 << 20));
+      HttpServerLimitsFor(services.descriptors, static_cast<double>(services.memory_bytes) / (1 << 20));
   limits.idle_eviction_threshold = limits.max_connections;
   return limits;
 }
@@ -270,7 +270,7 @@
         http_server_.Unlisten(listener.id, listener.address);
     }
     if (before->services->descriptors != services->descriptors ||
-        before->services->memory != services->memory ||
+        before->services->memory_bytes != services->memory_bytes ||
         before->services->health_path != services->health_path) {
       WriteLogLine(
           "process.descriptors, process.memory or process.health_path changed: takes effect at the next "
@@ -360,17 +360,17 @@
   routing::Request route_request{
       target.authority.host, target.path, ToStringView(head.method_string()),
       names.class_name.empty() ? std::string_view() : ToStringView(head[names.class_name]), origin.listener};
-  for (const std::string& name : services.table.header_names()) {
+  for (const std::string& name : services.route_table.header_names()) {
     const auto count = head.count(name);
     if (count > 1) return reject(http::status::bad_request, name + " is repeated");
     if (count == 1) route_request.headers.push_back({name, ToStringView(head[name])});
   }
-  const auto match = services.table.Match(route_request);
+  const auto match = services.route_table.Match(route_request);
   // A host that decodes the path again must not see a path that would have been routed differently.
   for (const std::string& reading : routing::AlternativeReadings(target.path)) {
     routing::Request other = route_request;
     other.path = reading;
-    if (services.table.Match(other) != match) {
+    if (services.route_table.Match(other) != match) {
       return reject(http::status::bad_request, "the path would be another one once a host has decoded it");
     }
   }
--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -243,7 +243,7 @@
     const auto found = pool.published.find(endpoint.id);
     if (found != pool.published.end()) {
       const EndpointAssignment& before = found->second;
-      if (!Differs(before, endpoint, services_->control.threshold)) continue;
+      if (!Differs(before, endpoint, services_->control.weight_change_fraction)) continue;
       urgent = urgent || before.address != endpoint.address || before.port != endpoint.port ||
                (before.health != EndpointHealth::kDraining && endpoint.health == EndpointHealth::kDraining);
       was[endpoint.id] = before;
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -1,4 +1,4 @@
-// The program as a child process of a test, ended with it.
+// Helpers that run the program under test as a child process.
 #ifndef OPALSWITCH_TESTS_PROCESS_HPP_
 #define OPALSWITCH_TESTS_PROCESS_HPP_
 
@@ -17,39 +17,42 @@
 
 namespace opalswitch::testing {
 
-// A run of the program to its end.
-struct Said {
-  int code = -1;
-  std::string text;  // both streams
+// The exit code and output of a finished run.
+struct ProgramResult {
+  int exit_code = -1;
+  std::string output;  // standard output and standard error
 };
 
-inline Said RunProgram(const std::string& arguments) {
-  Said said;
+// Runs the program with these arguments (as in a shell) and waits for its end.
+inline ProgramResult RunProgram(const std::string& arguments) {
+  ProgramResult result;
   std::FILE* const pipe = popen((std::string(FORKWICK_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
-  if (pipe == nullptr) return said;
-  char part[4096];
-  for (std::size_t got = 0; (got = std::fread(part, 1, sizeof part, pipe)) > 0;) said.text.append(part, got);
+  if (pipe == nullptr) return result;
+  char buffer[4096];
+  for (std::size_t size = 0; (size = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;)
+    result.output.append(buffer, size);
   const int status = pclose(pipe);
-  said.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return said;
+  result.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
+// A running program. The destructor kills it if it has not exited.
 class Process {
  public:
   using Variables = std::vector<std::pair<std::string, std::string>>;
-  // Starts the program with the variables given; its standard error goes to a file.
+  // Starts the program with these environment variables; its standard error goes to a file.
   explicit Process(const Variables& variables) : Process(variables, Arguments{}) {}
   struct Arguments {
     std::vector<std::string> list;
   };
   explicit Process(const Arguments& arguments) : Process(Variables{}, arguments) {}
   Process(const Variables& variables, const Arguments& arguments)
-      : errors_(::testing::TempDir() + "forkwick-err-" + std::to_string(getpid()) + "-" +
-                std::to_string(++count_)),
+      : stderr_path_(::testing::TempDir() + "forkwick-err-" + std::to_string(getpid()) + "-" +
+                     std::to_string(++count_)),
         pid_(fork()) {
     if (pid_ != 0) return;
     for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
-    if (std::freopen(errors_.c_str(), "w", stderr) == nullptr) _exit(99);
+    if (std::freopen(stderr_path_.c_str(), "w", stderr) == nullptr) _exit(99);
     std::vector<char*> argv = {const_cast<char*>(FORKWICK_PROGRAM)};
     for (const std::string& argument : arguments.list) argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
@@ -57,34 +60,35 @@
     _exit(98);
   }
   ~Process() {
-    if (!ended_) kill(pid_, SIGKILL);
+    if (!has_exited_) kill(pid_, SIGKILL);
     Wait();
-    std::remove(errors_.c_str());
+    std::remove(stderr_path_.c_str());
   }
 
   void Terminate() { kill(pid_, SIGTERM); }
   void Kill() { kill(pid_, SIGKILL); }
-  void HangUp() { kill(pid_, SIGHUP); }
-  bool Ended() {
-    if (!ended_) ended_ = waitpid(pid_, &status_, WNOHANG) == pid_;
-    return ended_;
+  void Hangup() { kill(pid_, SIGHUP); }
+  bool HasExited() {
+    if (!has_exited_) has_exited_ = waitpid(pid_, &status_, WNOHANG) == pid_;
+    return has_exited_;
   }
-  int Wait() {  // the exit code; -1 if it was killed
-    if (!ended_) ended_ = waitpid(pid_, &status_, 0) == pid_;
+  // Waits for the end and returns the exit code; -1 if a signal ended the program.
+  int Wait() {
+    if (!has_exited_) has_exited_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
-  std::string Errors() const {
+  std::string StandardError() const {
     std::stringstream text;
-    text << std::ifstream(errors_).rdbuf();
+    text << std::ifstream(stderr_path_).rdbuf();
     return text.str();
   }
 
  private:
   static inline int count_ = 0;
-  const std::string errors_;
+  const std::string stderr_path_;
   const pid_t pid_;
   int status_ = 0;
-  bool ended_ = false;
+  bool has_exited_ = false;
 };
 
 }  // namespace opalswitch::testing
--- a/tests/random_faults_test.cpp
+++ b/tests/random_faults_test.cpp
@@ -89,7 +89,7 @@
     text += "[[pool.host]]\naddress = \"" + ToText(hosts.back()->peer.address()) + "\"\n";
   }
   auto parsed = config::ParseServices(text, "test.toml", "");
-  ASSERT_TRUE(parsed.services) << parsed.issues.front().ToText();
+  ASSERT_TRUE(parsed.services) << parsed.issues.front().ToString();
   gateway::ServiceGateway gateway(io, parsed.services, 7);
   // Each second, the next host is offline for 0.3 s.
   asio::steady_timer phase_timer(io);
