--- a/src/module/outliers.cpp
+++ b/src/module/outliers.cpp
@@ -32,6 +32,7 @@
   const bool was_ejected = std::exchange(server.is_ejected, true);
   // Capped so that recovery does not take longer after a long ejection.
   server.failure_rate = std::min(server.failure_rate, kSevereFailureRate);
+  // The probe interval has a jitter of 25%.
   server.next_probe_at = now_ + server.probe_interval * (0.75 + 0.5 * Uniform());
   server.probe_interval = TooFewOthersAvailable(server)
                               ? kInitialProbeIntervalMs
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -82,7 +82,8 @@
   };
   for (int draws = 0; draws < kMaxDraws && server_index_.ready_count() > 0;) {
     TrackedServer& server = server_index_.ready_server(random_() % server_index_.ready_count());
-    // Not counted as a draw: its cost is bounded by the number of times that servers become ready.
+    // Not counted as a draw: it removes the server from the ready ones, so its cost is that of adding the
+    // server.
     if (DeactivateIfNotReady(server)) continue;
     if (matches(server)) return &server;
     ++draws;
--- a/src/module/state.hpp
+++ b/src/module/state.hpp
@@ -110,11 +110,13 @@
   double counted_concurrency_limit = 0;
 };
 
+// An attempt of an ActiveRequest. Its server stays valid because it is counted in
+// TrackedServer::attempt_refs.
 struct Attempt {
   TrackedServer* server;
   Millis sent_at;
   bool in_flight = true;
-  bool may_have_run = true;
+  bool may_have_run = true;  // until the outcome says that it did not
 };
 
 // A request from its arrival until it has its final answer and all its attempts have ended.
@@ -218,10 +220,11 @@
   double retry_budget_ = 1;  // retries that may be made
 
   // Statistics over all requests and servers.
-  double server_failure_rate_ = 0;    // EWMA of failures over all servers that are not ejected
-  double arrivals_per_ms_ = 0;        // smoothed request rate
-  double warm_responses_ = 0;         // responses of warm servers, and the sum of these servers' weights over
-  double warm_weight_ms_ = 0;         // time; both decay exponentially
+  double server_failure_rate_ = 0;  // EWMA of failures over all servers that are not ejected
+  double arrivals_per_ms_ = 0;      // smoothed request rate
+  // Exponentially decayed sums over warm servers: responses, and weight times time.
+  double warm_responses_ = 0;
+  double warm_weight_ms_ = 0;
   double reference_rate_per_ms_ = 0;  // responses per ms of a warm server of weight 1
   Millis mean_estimated_cost_ = 0;    // of the requests that have an estimate; 0 = none so far
   Millis mean_latency_ = 0;
--- a/src/module/warm_up.cpp
+++ b/src/module/warm_up.cpp
@@ -13,9 +13,9 @@
 constexpr double kFreeUtilization = 0.35;
 // Without reports, the send budget is this fraction of the server's part of the refill rate.
 constexpr double kInitialBudgetFraction = 0.6;
-// Time in which the send budget of a server with zero utilization would grow by a factor of e.
+// Time in which the send budget grows by a factor of e, per unit of utilization below the target.
 constexpr Millis kBudgetGrowthTimeMs = 500;
-// The same for decreases, which are proportional to the utilization beyond the target.
+// The same for decreases, per unit of utilization above the target.
 constexpr Millis kBudgetShrinkTimeMs = 300;
 // A report is applied to at most this time since the last one.
 constexpr Millis kMaxReportGapMs = 1000;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -607,15 +607,15 @@
 }
 
 TEST(ConcurrencyLimit, IsLowerForAServerThatReportsHighUtilizationAtConstantLatency) {
-  const int calm = SentAtOnceAfterReports(0.5);
+  const int idle = SentAtOnceAfterReports(0.5);
   const int busy = SentAtOnceAfterReports(1.0);
-  EXPECT_GE(calm, 2);
+  EXPECT_GE(idle, 2);
   EXPECT_EQ(busy, 1);  // not 0: a server without requests could not show that it has recovered
 }
 
 TEST(ConcurrencyLimit, TargetUtilizationIsLowerWithManyGateways) {
   // A utilization of 0.85 is acceptable for few gateways, but not for eight that do not know of each other.
-  const auto sends = [](double utilization) {
+  const auto answered_requests = [](double utilization) {
     Settings settings = MakeSettings();
     settings.gateways = 8;
     settings.load_report_fields = {"util"};
@@ -633,7 +633,7 @@
     }
     return answered;
   };
-  EXPECT_GT(sends(0.6), 2 * sends(0.85)) << sends(0.85);
+  EXPECT_GT(answered_requests(0.6), 2 * answered_requests(0.85)) << answered_requests(0.85);
 }
 
 TEST(ConcurrencyLimit, ReportsThatAreTooShortOrNotANumberAreIgnored) {
@@ -695,10 +695,10 @@
   EXPECT_EQ(FakeGateway::CountActions<Refuse>(gateway.SendRequest("late", "view", 900)), 1);
   EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("again", "view", 1500)), 1);
   settings.classes[0].late_worth = 0.5;
-  FakeGateway earns(settings);
-  earns.SetServerCount(3);
-  earns.ServeRequests(5);
-  EXPECT_EQ(FakeGateway::CountActions<Send>(earns.SendRequest("late", "view", 900)), 1);
+  FakeGateway late_worth_gateway(settings);
+  late_worth_gateway.SetServerCount(3);
+  late_worth_gateway.ServeRequests(5);
+  EXPECT_EQ(FakeGateway::CountActions<Send>(late_worth_gateway.SendRequest("late", "view", 900)), 1);
 }
 
 TEST(Tenants, SmallQuotaPerGatewayAllowsABurst) {
@@ -751,19 +751,19 @@
 TEST(KeyAffinity, KeyIsSentToTheSameServersByAllGateways) {
   Settings settings = MakeSettings();
   settings.has_key_affinity = true;
-  std::map<std::string, std::set<std::string>> homes;
+  std::map<std::string, std::set<std::string>> servers_by_key;
   for (int seed = 0; seed < 8; ++seed) {
     FakeGateway gateway(settings, seed);
     gateway.SetServerCount(8);
     for (int i = 0; i < 40; ++i) {
       Request r{"r" + std::to_string(i), "view", "", "key" + std::to_string(i % 10), 2000};
       const std::string server = FakeGateway::ServerSentTo(gateway.HandleEvent(r));
-      homes[r.key].insert(server);
+      servers_by_key[r.key].insert(server);
       gateway.now += 20;
       gateway.FinishAttempt(r.id, server, Result::kServed, 20);
     }
   }
-  for (const auto& [key, servers] : homes) EXPECT_LE(servers.size(), 2u) << key;
+  for (const auto& [key, servers] : servers_by_key) EXPECT_LE(servers.size(), 2u) << key;
 }
 
 TEST(Queues, QueueingTimeIsASmallFractionOfTheAim) {
@@ -892,7 +892,7 @@
     for (int i = 0; i < 50; ++i) serve("a" + std::to_string(i), 900);
     serve("long", 1900);
     const auto next =
-        gateway.SendRequest("usual", "view", 900);  // would be 1100 of 2000 ms late if it were a retry
+        gateway.SendRequest("usual", "view", 900);  // 1100 of 2000 ms elapsed if it were a retry
     EXPECT_EQ(FakeGateway::CountActions<Refuse>(next), marks ? 0 : 1);
     if (!marks) continue;
     Request retry;
@@ -939,19 +939,19 @@
 TEST(Ejection, OnlyTheServerThatFailsMoreThanTheOthersIsEjected) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
-  std::map<std::string, int> requests_sent, late;
+  std::map<std::string, int> requests_sent, requests_after_convergence;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest(id, "pay"));
     ASSERT_NE(server, "");
     const int n = ++requests_sent[server];
-    if (i >= 200) ++late[server];
+    if (i >= 200) ++requests_after_convergence[server];
     gateway.now += 30;
     gateway.FinishAttempt(id, server,
                           (i >= 100 && server == "s2") || n % 4 == 0 ? Result::kReset : Result::kServed, 30);
   }
-  EXPECT_EQ(late["s2"], 0);
-  for (const char* id : {"s0", "s1", "s3"}) EXPECT_GT(late[id], 30);
+  EXPECT_EQ(requests_after_convergence["s2"], 0);
+  for (const char* id : {"s0", "s1", "s3"}) EXPECT_GT(requests_after_convergence[id], 30);
 }
 
 // Guards the gateway's descriptors: without a free connection, a request is queued and costs no token or
--- a/tests/standins/fleet_simulation.hpp
+++ b/tests/standins/fleet_simulation.hpp
@@ -1,6 +1,6 @@
-// A small fleet in simulated time, for tests of whole situations: gateways with a Policy each, hosts with
-// cores and queues that can be made slow, silent or dear, clients that ask again. One seed, one course of
-// events.
+// A small fleet in simulated time, for tests of incidents: gateways that run a Policy each, hosts with a
+// processor and a queue that can hang, slow down or degrade, and clients that retry. The same seed gives the
+// same course of events.
 #ifndef OPALSWITCH_TESTS_STANDINS_FLEET_SIMULATION_HPP_
 #define OPALSWITCH_TESTS_STANDINS_FLEET_SIMULATION_HPP_
 
@@ -24,28 +24,30 @@
 
 class FleetSimulation {
  public:
+  // A class and the load of its requests.
   struct ClassLoad {
     ClassSettings settings;
-    double share = 1;       // of the requests
-    Millis mean_work = 10;  // mean, on a host of speed 1; drawn from an exponential distribution
-    double expensive_fraction = 0,
-           expensive_factor = 1;  // this part of its requests asks for so many times that
+    double share = 1;               // relative number of requests
+    Millis mean_work = 10;          // service time on a host of speed 1; exponentially distributed
+    double expensive_fraction = 0;  // this fraction of the requests has
+    double expensive_factor = 1;    // this multiple of the work
   };
+  // A host with one processor, which the running requests share evenly.
   struct Host {
     std::string id, zone = "a";
     double speed = 1;
-    std::size_t concurrency = 6;  // requests that run at once
-    std::size_t queue = 16;       // requests that wait at the most; one more is turned away
-    bool is_hung = false;         // takes everything and says nothing
-    double slowdown = 1;          // times as slow
-    bool is_degraded = false;     // slower still, for having held too much, until it rested
-    // Its own.
+    std::size_t concurrency = 6;  // maximum number of running requests
+    std::size_t queue = 16;       // maximum number of waiting requests; further ones are rejected
+    bool is_hung = false;         // accepts requests and never responds
+    double slowdown = 1;          // factor of the service time
+    bool is_degraded = false;     // slowed down after an overload, see MonitorHosts
+    // Internal state.
     struct Job;
     std::deque<std::shared_ptr<Job>> waiting;
-    std::vector<std::shared_ptr<Job>> running;  // share the one core evenly
-    Millis progress_at = 0;                     // until when their work is counted
-    std::uint64_t version = 0;                  // changes whenever the next end does
-    double held_ewma = 0, busy_ewma = 0;        // smoothed: requests held, and time at work
+    std::vector<std::shared_ptr<Job>> running;
+    Millis progress_at = 0;               // time up to which the work done is accounted for
+    std::uint64_t version = 0;            // invalidates the scheduled end of a job when it changes
+    double held_ewma = 0, busy_ewma = 0;  // number of requests held, and fraction of time busy
     Millis degraded_at = 0;
   };
   struct RequestCount {
@@ -54,30 +56,38 @@
   };
 
   static constexpr Millis kNetworkDelayMs = 1;  // one way
-  static constexpr double kDegradeHeldRequests = 7, kDegradedSlowdown = 2.5, kRecoveryBusyFraction = 0.4;
-  static constexpr Millis kDegradeWindowMs = 2000, kMaxDegradedMs = 20000;
+  // A host degrades when it holds more requests than this on average ...
+  static constexpr double kDegradeHeldRequests = 7;
+  static constexpr Millis kDegradeWindowMs = 2000;
+  static constexpr double kDegradedSlowdown = 2.5;
+  // ... and recovers when it is busy for less than this fraction of the time, or after this time.
+  static constexpr double kRecoveryBusyFraction = 0.4;
+  static constexpr Millis kMaxDegradedMs = 20000;
 
   std::vector<ClassLoad> classes;
   std::vector<Host> hosts;
   std::map<std::string, double> client_zones = {
-      {"a", 1}};  // where clients are, by share; a gateway stands in each
+      {"a", 1}};  // share of the clients by zone, with a gateway each
   double requests_per_s = 100;
-  bool has_cost_estimates = true;  // clients guess the work, within a factor of two
-  Millis membership_delay = 0;     // news of hosts
+  bool has_cost_estimates = true;  // clients send cost estimates that are correct within a factor of two
+  Millis membership_delay = 0;     // of updates after the restart of a host
   bool hosts_degrade = false;
-  std::map<int, std::map<int, RequestCount>>
-      counts;  // by class and second: first tries, and those answered in time
-  std::map<std::string, std::map<std::string, int>> causes;  // by class: refusals and failures
-  int unsafe_reruns = 0, unanswered = 0;  // requests that ran twice and may not; or have no answer
+  // First tries, and those answered within the aim, by class and second.
+  std::map<int, std::map<int, RequestCount>> counts;
+  // Refusals and failures, by class and cause.
+  std::map<std::string, std::map<std::string, int>> causes;
+  int unsafe_reruns = 0;  // unsafe requests that ran more than once
+  int unanswered = 0;     // requests without a final answer
 
   explicit FleetSimulation(std::uint64_t seed) : random_(seed) {}
 
+  // Calls `callback` at the time `when`.
   void Schedule(Millis when, std::function<void()> callback) {
     events_.push({when, ++last_order_, std::move(callback)});
   }
   Millis now() const { return now_; }
 
-  // Begins with all hosts known.
+  // Starts the gateways, which know all hosts, and the arrival of requests.
   void Start() {
     for (const auto& [zone, share] : client_zones) {
       gateways_.push_back({});
@@ -96,14 +106,14 @@
     }
     now_ = until;
   }
-  // Lets all that is out end.
+  // Stops arrivals, lets the remaining requests end, and counts those without a final answer.
   void Finish(Millis after = 10000) {
     ending_ = true;
     RunUntil(now_ + after);
     for (const GatewayProcess& gateway : gateways_)
       unanswered += static_cast<int>(gateway.open_requests.size());
   }
-  // A new process with nothing but the last list. What the old one had is lost with it, and not counted.
+  // Starts a new gateway process with only the server list. Open requests of the old one are not counted.
   void RestartGateway(std::size_t i) {
     GatewayProcess& gateway = gateways_[i];
     ++gateway.process_id;
@@ -128,7 +138,7 @@
     for (const Host& host : hosts) update.servers.push_back(ToServer(host, ServerState::kUp));
     DeliverEvent(i, update);
   }
-  // A host's process starts anew; gateways hear of it when lists are.
+  // Starts a new process on the host. Gateways learn of it after membership_delay.
   void RestartHost(Host& host) {
     host.waiting.clear();
     host.running.clear();
@@ -141,7 +151,8 @@
     }
   }
 
-  // Of all that was first asked between two times.
+  // Fraction of the worth of the first tries in [from, to) that was answered within the aim; of one class or
+  // all (-1).
   double TimelyWorthFraction(Millis from, Millis to, int class_index = -1) const {
     RequestCount sum;
     for (const auto& [c, seconds] : counts) {
@@ -154,6 +165,7 @@
     }
     return sum.TimelyFraction();
   }
+  // For messages of failed tests.
   std::string DescribeCauses() const {
     std::string text;
     for (const auto& [name, counts_by_cause] : causes) {
@@ -268,7 +280,7 @@
     ++causes[ClassOf(request.class_index).settings.name][CauseName(refuse.cause)];
     gateways_[i].open_requests.erase(found);
     if (!request.is_first_try) return;
-    request.is_first_try = false;  // a client asks once more, if there is time
+    request.is_first_try = false;  // a client retries once, if there is time
     const Millis at = now_ + std::max(refuse.retry_after, 30.0) * (1 + Uniform());
     if (at + 50 < request.client_deadline) {
       Schedule(at, [this, i, request]() mutable { SendRequest(i, std::move(request)); });
@@ -289,7 +301,7 @@
   void UpdateHost(Host& host);
   void AbortJob(const std::shared_ptr<Host::Job>& job);
 
-  // Hosts that held too much for long slow down, until they were mostly idle, or for long.
+  // Degrades hosts that have held too many requests for a while, and ends the degradation.
   void MonitorHosts() {
     constexpr Millis kIntervalMs = 50;
     Schedule(now_ + kIntervalMs, [this] {
@@ -298,8 +310,11 @@
         host.held_ewma +=
             part * (static_cast<double>(host.waiting.size() + host.running.size()) - host.held_ewma);
         host.busy_ewma += part * ((host.running.empty() ? 0 : 1) - host.busy_ewma);
-        if (!host.is_degraded && host.held_ewma > kDegradeHeldRequests)
-          host.is_degraded = true, host.degraded_at = now_, ++degradations;
+        if (!host.is_degraded && host.held_ewma > kDegradeHeldRequests) {
+          host.is_degraded = true;
+          host.degraded_at = now_;
+          ++degradations;
+        }
         if (host.is_degraded &&
             (host.busy_ewma < kRecoveryBusyFraction || now_ - host.degraded_at > kMaxDegradedMs))
           host.is_degraded = false;
@@ -312,22 +327,22 @@
   std::priority_queue<ScheduledCall> events_;
   std::uint64_t last_order_ = 0, last_id_ = 0;
   std::deque<GatewayProcess> gateways_;
-  std::set<std::string> started_unsafe_;  // unsafe requests that a host has begun
+  std::set<std::string> started_unsafe_;  // unsafe requests that a host has started to execute
   Millis now_ = 0;
   bool ending_ = false;
 
  public:
-  int degradations = 0;
+  int degradations = 0;  // number of times that a host degraded
 };
 
-// One attempt, from its sending to its outcome.
+// An attempt, from its Send to its Outcome.
 struct FleetSimulation::Host::Job {
   std::string request;
   std::size_t gateway = 0;
   int attempt = 0, process_id = 0, class_index = 0;
   Host* host = nullptr;
   Millis remaining_work = 0, sent_at = 0;
-  bool has_ended = false;  // its outcome is under way
+  bool has_ended = false;  // its outcome is determined, but may not have been reported yet
 };
 
 inline void FleetSimulation::Execute(std::size_t i, const Send& send) {
@@ -367,7 +382,8 @@
   ReportOutcome(job, Result::kCancelled);
 }
 
-// Counts what was worked since the last change, starts what may run now, and waits for the next end.
+// Accounts for the work since the last call, ends finished jobs, starts waiting ones and schedules the next
+// end.
 inline void FleetSimulation::UpdateHost(Host& host) {
   const double rate = host.speed / (host.slowdown * (host.is_degraded ? kDegradedSlowdown : 1));
   const double each = host.running.empty() ? 0 : rate / static_cast<double>(host.running.size());
--- a/tests/worst_days_test.cpp
+++ b/tests/worst_days_test.cpp
@@ -1,6 +1,5 @@
-// Whole situations in simulated time: what may not become of the service when much goes wrong at once. The
-// bounds are what is left by arithmetic (hosts that are gone, work that got dearer), less a margin for the
-// gateways' finding out.
+// Incidents in simulated time. The bounds are what the remaining capacity allows by calculation, less a
+// margin for the time in which gateways detect the incident.
 #include <gtest/gtest.h>
 
 #include "standins/fleet_simulation.hpp"
@@ -19,7 +18,7 @@
   return settings;
 }
 
-// Twelve hosts that do 100 requests a second each of 10 ms; 0.75 of that is asked for.
+// Twelve hosts with a capacity of 100 requests of 10 ms per second each; the load is 0.75 of it.
 FleetSimulation MakeSimulation(std::uint64_t seed = 5) {
   FleetSimulation simulation(seed);
   simulation.classes = {{MakeSimulationClass("view", Effect::kSafe, 5, 200, 500), 0.5, 8},
@@ -37,7 +36,7 @@
   return simulation;
 }
 
-// What holds on every day.
+// Checks what must hold in all cases.
 void ExpectGuarantees(FleetSimulation& simulation) {
   simulation.Finish();
   EXPECT_EQ(simulation.unsafe_reruns, 0) << "an unsafe request ran twice";
@@ -47,15 +46,16 @@
 struct Incident {
   const char* name;
   std::function<void(FleetSimulation&)> begin, end;
-  double
-      min_during;  // part of the worth that is served in time while it lasts, from 2 s after its beginning on
-  double min_after;  // and from 5 s after its end on
+  // Minimum fraction of the worth that is served in time, during the incident from 2 s after its start ...
+  double min_during;
+  // ... and afterwards from 5 s after its end.
+  double min_after;
 };
 
 std::ostream& operator<<(std::ostream& out, const Incident& incident) { return out << incident.name; }
 
-// Silent hosts have no part in what follows; 9 of 12 can carry all but nothing more: 0.75 was asked of 12.
-const Incident kQuarterHung{"QuarterOfHostsSilent",
+// The remaining 9 of 12 hosts can just handle the load, which is 0.75 of the capacity of 12.
+const Incident kQuarterHung{"QuarterOfHostsHung",
                             [](FleetSimulation& simulation) {
                               for (int i : {0, 3, 7})
                                 simulation.hosts[static_cast<std::size_t>(i)].is_hung = true;
@@ -65,7 +65,7 @@
                                 simulation.RestartHost(simulation.hosts[static_cast<std::size_t>(i)]);
                             },
                             0.75, 0.95};
-// All hosts do a third: 0.46 of what is asked can be done.
+// All hosts have about a third of their capacity: 0.46 of the load can be handled.
 const Incident kAllSlow{"AllHostsSlow",
                         [](FleetSimulation& simulation) {
                           for (auto& host : simulation.hosts) host.slowdown = 2.9;
@@ -74,8 +74,8 @@
                           for (auto& host : simulation.hosts) host.slowdown = 1;
                         },
                         0.3, 0.95};
-// Three quarters of the clients in the zone that has half of the hosts: these can carry 0.89 of it.
-const Incident kZoneOverload{"ZoneWithMoreTrafficThanItsHostsCarry",
+// Three quarters of the clients are in a zone with half of the hosts, which can handle 0.89 of their load.
+const Incident kZoneOverload{"ZoneWithMoreLoadThanCapacity",
                              [](FleetSimulation& simulation) {
                                simulation.client_zones = {{"a", 0.75}, {"b", 0.25}};
                              },
@@ -83,19 +83,18 @@
                                simulation.client_zones = {{"a", 0.5}, {"b", 0.5}};
                              },
                              0.9, 0.95};
-// One in fifty of a class's requests asks for thirty times the work: what is asked for is 0.87 of what there
-// is.
+// One in fifty requests of a class has thirty times the work: the load is 0.87 of the capacity.
 const Incident kExpensiveTail{
-    "OneInFiftyOfAClassThirtyTimesDearer",
+    "OneInFiftyOfAClassThirtyTimesTheWork",
     [](FleetSimulation& simulation) {
       simulation.classes[0].expensive_fraction = 0.02;
       simulation.classes[0].expensive_factor = 30;
     },
     [](FleetSimulation& simulation) { simulation.classes[0].expensive_fraction = 0; }, 0.85, 0.95};
 
-class WorstDay : public ::testing::TestWithParam<std::tuple<Incident, bool>> {};
+class IncidentTest : public ::testing::TestWithParam<std::tuple<Incident, bool>> {};
 
-TEST_P(WorstDay, IsGotThroughAndOver) {
+TEST_P(IncidentTest, KeepsServingAndRecovers) {
   const auto& [incident, restart_gateway] = GetParam();
   FleetSimulation simulation = MakeSimulation();
   simulation.Schedule(10000, [&, begin = incident.begin] { begin(simulation); });
@@ -103,14 +102,14 @@
   simulation.Schedule(23000, [&, end = incident.end] { end(simulation); });
   simulation.Start();
   simulation.RunUntil(40000);
-  EXPECT_GE(simulation.TimelyWorthFraction(3000, 10000), 0.97) << "before";
+  EXPECT_GE(simulation.TimelyWorthFraction(3000, 10000), 0.97) << "before the incident";
   EXPECT_GE(simulation.TimelyWorthFraction(12000, 23000), incident.min_during - (restart_gateway ? 0.1 : 0))
-      << "while it lasts; " << simulation.DescribeCauses();
-  EXPECT_GE(simulation.TimelyWorthFraction(28000, 40000), incident.min_after) << "after it";
+      << "during the incident; " << simulation.DescribeCauses();
+  EXPECT_GE(simulation.TimelyWorthFraction(28000, 40000), incident.min_after) << "after the incident";
   ExpectGuarantees(simulation);
 }
 
-INSTANTIATE_TEST_SUITE_P(Incidents, WorstDay,
+INSTANTIATE_TEST_SUITE_P(Incidents, IncidentTest,
                          ::testing::Combine(::testing::Values(kQuarterHung, kAllSlow, kZoneOverload,
                                                               kExpensiveTail),
                                             ::testing::Bool()),
@@ -119,8 +118,8 @@
                                   (std::get<1>(info.param) ? "AndAGatewayRestarts" : "");
                          });
 
-// While some of one class's requests ask for thirty times the usual, the other classes keep what they had.
-TEST(WorstDays, OtherClassesKeepTheirPartWhereOneGetsDear) {
+// Some requests of one class have thirty times the work: the other classes must not suffer.
+TEST(Incident, ExpensiveRequestsOfOneClassDoNotDisplaceOtherClasses) {
   FleetSimulation simulation = MakeSimulation();
   simulation.Schedule(10000, [&] {
     simulation.classes[0].expensive_fraction = 0.05;
@@ -135,8 +134,8 @@
   ExpectGuarantees(simulation);
 }
 
-// Hosts that choke when they hold too much for long: an overload must not choke all of them.
-TEST(WorstDays, OverloadDoesNotChokeTheFleet) {
+// Hosts degrade when they hold too many requests for a while: an overload must not degrade all of them.
+TEST(Incident, OverloadDoesNotDegradeAllHosts) {
   FleetSimulation simulation = MakeSimulation();
   simulation.hosts_degrade = true;
   simulation.Schedule(10000, [&] { simulation.requests_per_s = 2200; });
@@ -144,7 +143,7 @@
   simulation.Start();
   simulation.RunUntil(40000);
   EXPECT_LE(simulation.degradations, 3);
-  EXPECT_GE(simulation.TimelyWorthFraction(12000, 20000), 0.4) << "of nearly twice what hosts can do";
+  EXPECT_GE(simulation.TimelyWorthFraction(12000, 20000), 0.4) << "of nearly twice the capacity";
   EXPECT_GE(simulation.TimelyWorthFraction(25000, 40000), 0.95);
   ExpectGuarantees(simulation);
 }
