--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -142,8 +142,9 @@
   entry->body_memory = body_memory_.AddParticipant(0, max_of(pool_config.body_memory));
   Settings settings = pool_config.settings;
   const auto max_descriptors = std::min<std::uint64_t>(descriptors_.total(), max_of(pool_config.descriptors));
-  const auto wanted = static_cast<std::uint64_t>(settings.max_in_flight);
-  settings.max_in_flight = static_cast<int>(wanted > 0 ? std::min(wanted, max_descriptors) : max_descriptors);
+  const auto configured = static_cast<std::uint64_t>(settings.max_in_flight);
+  settings.max_in_flight =
+      static_cast<int>(configured > 0 ? std::min(configured, max_descriptors) : max_descriptors);
   HostPool::Limits upstream;
   upstream.dial_timeout = pool_config.dial_timeout;
   upstream.idle_timeout = pool_config.idle_timeout;
