--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -29,7 +29,9 @@
     Settings settings;  // of the decision module
     std::uint64_t seed = 0;
     HostPool::Limits upstream;
-    bool plain = false;                   // serve ordinary HTTP clients: see docs/operators/services.md
+    // Serve ordinary HTTP clients instead of the platform's: hosts' own error responses are forwarded,
+    // forwarding headers are added, and Retry-After is in whole seconds. See docs/operators/services.md.
+    bool plain = false;
     std::function<void()> request_watch;  // requests a discovery watch for the module; may be empty
   };
 
@@ -82,6 +84,7 @@
     boost::asio::steady_timer deadline_timer;
   };
 
+  // Forwards a served response, and reports the outcome to the decision module.
   void OnAttemptEnded(const std::string& id, std::size_t attempt, Result result, HttpResponse response);
   // Fails the request if it is still unanswered shortly before its client gives up.
   void OnDeadline(const std::string& id);
@@ -97,6 +100,7 @@
   void Execute(const Watch& watch);
   void Execute(const Log& log);
 
+  // Returns null if there is no such request.
   PendingRequest* FindRequest(const std::string& id);
   // Sends the response unless the request is already answered, and releases its admission.
   void Respond(PendingRequest& pending, HttpResponse response);
@@ -107,6 +111,7 @@
   void RecordOutcome(const PendingRequest& pending, ledger::RequestOutcome outcome, std::string_view cause);
   // Writes the log lines "losses ..." and "hosts ..." if they are due.
   void LogLosses();
+  // Forgets the request if it is answered and no attempt is in flight.
   void EraseIfFinished(const std::string& id);
 
   boost::asio::io_context& io_;
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -107,6 +107,7 @@
     return true;
   }
 
+  // Connects within the dial timeout, then sends the request.
   void ConnectAndSend(Exchange exchange) {
     Assign(std::move(exchange));
     SetTimer(std::min(exchange_->deadline, Now() + pool_.limits_.dial_timeout));
@@ -115,6 +116,7 @@
     });
   }
 
+  // Sends the request on an idle connection.
   void SendOnIdle(Exchange exchange) {
     Assign(std::move(exchange));
     SetTimer(exchange_->deadline);
@@ -268,6 +270,7 @@
     Complete(result, std::move(response));
   }
 
+  // Makes the connection available for the next request.
   void ReturnToPool() {
     parser_.reset();
     write_buffer_ = {};
@@ -296,7 +299,7 @@
   std::size_t bytes_written_ = 0;  // bytes of write_buffer_ that the kernel has accepted
   int interim_responses_ = 0;
   http::verb method_ = http::verb::unknown;  // of the current request
-  std::uint64_t generation_ = 0;
+  std::uint64_t generation_ = 0;             // incremented to invalidate pending waits
   std::optional<Exchange> exchange_;
   bool is_open_ = false;
 };
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -27,7 +27,7 @@
     Millis idle_timeout = 15000;        // after which hosts close an idle connection
     std::size_t max_connections = 256;  // over all hosts together
     std::uint64_t max_response_bytes = kMaxBodyBytes;
-    // Whether any status below 500 counts as served; otherwise only 200 does.
+    // Whether any status below 500 counts as served (ordinary HTTP); otherwise only 200 does (the platform).
     bool plain = false;
     // Acquire and release a descriptor of the budget that pools share; empty if the pool does not share its
     // descriptors.
@@ -75,6 +75,7 @@
   bool ReserveConnection();
   // Whether the host is up at this address.
   bool IsUsable(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
+  // Removes a connection from its host's idle list, if it is there.
   void RemoveIdle(const std::string& host, const Connection* connection);
 
   boost::asio::io_context& io_;
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -32,7 +32,7 @@
 
 // Guards against ejecting one server after the other for random failures that all of them show: none would be
 // left.
-TEST(Faults, RandomFailuresOfAllServersEjectAtMostHalf) {
+TEST(Faults, RandomFailuresOfAllServersLeaveServersInUse) {
   Gateway g;
   g.Servers(4);
   int broken = 0;
--- a/tests/peers.hpp
+++ b/tests/peers.hpp
@@ -65,6 +65,7 @@
         if (self->peer.serve) self->peer.serve(received);
       });
     }
+    // Sends `text` unchanged.
     void Raw(std::string text) {
       const auto kept = std::make_shared<std::string>(std::move(text));
       asio::async_write(socket, asio::buffer(*kept),
@@ -74,6 +75,7 @@
       error_code ignored;
       socket.close(ignored);
     }
+    // Closes the connection with a TCP RST.
     void Reset() {
       error_code ignored;
       socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -87,6 +89,7 @@
     bool ended = false;  // closed by the gateway
   };
 
+  // A request and the connection to answer it on.
   struct ReceivedRequest {
     HttpRequest http;
     std::shared_ptr<Connection> connection;
