--- a/src/membership/node_registry.cpp
+++ b/src/membership/node_registry.cpp
@@ -33,11 +33,11 @@
 std::vector<NodeRegistry::PoolUpdate> NodeRegistry::ApplyUpdate(PoolId pool, const HostList& list,
                                                                 Millis now) {
   std::map<std::string, Host>& hosts = hosts_by_pool_[pool];
-  std::set<std::string> changed;
+  std::set<std::string> changed_ids;
   std::set<std::string> listed_ids;
   for (const Host& host : list.hosts) {
     listed_ids.insert(host.server.id);
-    if (UpdateDrain(pool, host, now)) changed.insert(host.server.id);
+    if (UpdateDrain(pool, host, now)) changed_ids.insert(host.server.id);
     if (host.server.state == ServerState::kGone) {
       hosts.erase(host.server.id);
     } else {
@@ -48,13 +48,13 @@
     std::erase_if(hosts, [&](const auto& entry) { return !listed_ids.contains(entry.first); });
   }
   std::vector<PoolUpdate> updates;
-  for (const auto& [other, hosts] : hosts_by_pool_) {
+  for (const auto& [other, other_hosts] : hosts_by_pool_) {
     if (other == pool) continue;
     HostList delta;
     delta.complete = false;
-    for (const std::string& id : changed) {
-      const auto found = hosts.find(id);
-      if (found == hosts.end()) continue;
+    for (const std::string& id : changed_ids) {
+      const auto found = other_hosts.find(id);
+      if (found == other_hosts.end()) continue;
       delta.hosts.push_back(found->second);
       delta.hosts.back().server.state = EffectiveState(found->second);
     }
