--- a/src/base/http_types.hpp
+++ b/src/base/http_types.hpp
@@ -34,7 +34,7 @@
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
 // Whether a header applies to a single connection and must not be forwarded (RFC 9110 section 7.6.1).
-// Transfer-Encoding is among them: the body is framed anew for the next connection.
+// Transfer-Encoding is among them: the body is framed again for the next connection.
 inline bool IsHopByHop(boost::beast::http::field name) {
   using boost::beast::http::field;
   switch (name) {
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -63,7 +63,7 @@
   StartCall();
 }
 
-// Fails the call with `failure` after `timeout`, unless the timer is set anew or cancelled before.
+// Fails the call with `failure` after `timeout`, unless the timer is set again or cancelled before.
 void Discovery::SetTimeout(const std::shared_ptr<Call>& call, Millis timeout, WatchFailure failure) {
   call->timer.expires_after(ToDuration(timeout));
   call->timer.async_wait([this, call, failure, alive = std::weak_ptr(alive_)](error_code ec) {
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -84,8 +84,8 @@
   return true;
 }
 
-void WatchSchedule::UpdateQueueDelay(Millis elapsed) {
-  queue_delay_ += kQueueDelaySmoothingFactor * (std::max(0.0, elapsed) - queue_delay_);
+void WatchSchedule::UpdateQueueDelay(Millis sample) {
+  queue_delay_ += kQueueDelaySmoothingFactor * (std::max(0.0, sample) - queue_delay_);
 }
 
 std::optional<std::string> WatchSchedule::RecordFailure(WatchFailure failure, Millis elapsed,
--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -47,7 +47,7 @@
   kClosed,         // the connection ended before the first byte of a response, as when discovery shuts down
   kTruncated,      // the connection ended, or the time ran out, within a response
   kErrorStatus,    // an HTTP status other than 200
-  kMalformed,      // the body is no valid host list
+  kMalformed,      // the body is not a valid host list
   kStaleRevision   // the list is older than the one known
 };
 
@@ -61,7 +61,8 @@
   // together soon call at different times.
   std::string BeginCall(double uniform);
 
-  // Time-out from the end of the request to the response's header.
+  // Time-out from sending the request to the response's header: the wait, plus an allowance for queueing and
+  // for earlier time-outs in a row.
   Millis ResponseTimeout() const;
 
   // Delay between a response and the next call: random, up to twice the recent queue delay. Discovery serves
@@ -98,7 +99,8 @@
   std::optional<std::int64_t> revision() const { return revision_; }
 
  private:
-  void UpdateQueueDelay(Millis elapsed);
+  // Adds a sample to the EWMA; negative ones count as 0.
+  void UpdateQueueDelay(Millis sample);
 
   const WatchTimes times_;
   std::optional<std::int64_t> revision_;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -149,7 +149,7 @@
   WatchSchedule schedule(41);
   EXPECT_FALSE(schedule.AcceptList(CompleteList(3)));
   EXPECT_FALSE(schedule.AcceptList(DeltaList(4)));     // a delta proves nothing
-  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));  // lower than the one before: counted anew
+  EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));  // lower than the one before: counting restarts
   EXPECT_FALSE(schedule.AcceptList(CompleteList(2)));
   EXPECT_TRUE(schedule.AcceptList(CompleteList(4)));
   EXPECT_EQ(schedule.revision(), 4);
@@ -290,7 +290,7 @@
   ExpectRecoveryAfterTruncation("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
 }
 
-// Guards against waiting for the rest of a begun response as long as for a change.
+// Guards against waiting for the rest of a response as long as for a change.
 TEST(Discovery, RecoversFromStalledBody) {
   WatchTimes times = LongTimes();
   times.body_timeout = 1000;
