--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -2,6 +2,9 @@
 // may wait on the server, when it counts as timed out, when the next call is made, which host lists are
 // accepted, and what is logged. Performs no I/O and reads no clock: the caller (discovery.hpp) makes the
 // calls and reports their results. Not thread-safe.
+//
+// Discovery serves calls one after another, so calls queue there when many gateways call at once, for example
+// after a change that ends all of their watches. The schedule estimates that queue delay and allows for it.
 #ifndef OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 #define OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 
