--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -1,5 +1,6 @@
-// forkwick: the gateway's command line. Without arguments it is the platform's gateway, told by NODE_*
-// variables; with them it runs, checks or explains an operators' file.
+// forkwick: the gateway's program. Without arguments it runs a gateway for the platform, configured by the
+// NODE_* environment variables. With a subcommand it runs an operators' file, checks it, or explains its
+// routing.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -32,25 +33,26 @@
 using opalswitch::apps::RandomSeed;
 using opalswitch::apps::RunLoop;
 
-enum Exit { kDone = 0, kFailed = 1, kUsage = 2, kNoRoute = 3 };
+enum ExitCode { kDone = 0, kFailed = 1, kUsage = 2, kNoRoute = 3 };
 
-const char* Variable(const char* name) { return std::getenv(name); }
+const char* GetEnvironment(const char* name) { return std::getenv(name); }
 
-// The environment still tells where discovery was at the start: a changed file knows better.
-const char* VariableAtReload(const char* name) {
-  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : Variable(name);
+// At a reload NODE_DISCOVERY is ignored: the environment has the address as of the start, the file may have a
+// newer one.
+const char* GetEnvironmentAtReload(const char* name) {
+  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : GetEnvironment(name);
 }
 
 int RunPlatform() {
   asio::io_context io(1);
-  gw::Gateway gateway(io, gw::LoadConfig(Variable));
+  gw::Gateway gateway(io, gw::LoadConfig(GetEnvironment));
   RunLoop(
       io, [&](auto done) { gateway.Stop(std::move(done)); },
       [&] {
         try {
-          gateway.Reload(gw::LoadConfig(VariableAtReload));
+          gateway.Reload(gw::LoadConfig(GetEnvironmentAtReload));
         } catch (const std::exception& error) {
-          std::fprintf(stderr, "forkwick: configuration not reloaded: %s\n", error.what());
+          std::fprintf(stderr, "forkwick: configuration not reloaded, the old one stays: %s\n", error.what());
         }
       });
   return kDone;
@@ -63,7 +65,7 @@
   gw::ServiceGateway gateway(io, first.services, RandomSeed());
   std::unique_ptr<gw::FileWatcher> watch;
   std::function<void()> reload;
-  const auto follow = [&](const config::Services& services) {
+  const auto update_watcher = [&](const config::Services& services) {
     if (services.watches_file == (watch != nullptr)) return;
     watch = services.watches_file ? std::make_unique<gw::FileWatcher>(io, path, [&] { reload(); }) : nullptr;
   };
@@ -78,10 +80,10 @@
       return;
     }
     std::fprintf(stderr, "forkwick: reloaded %s\n", path.c_str());
-    // The watch may be what called this: it is changed from the loop.
-    asio::post(io, [&, services = next.services] { follow(*services); });
+    // The watcher may be the caller, so it is replaced later, from the loop.
+    asio::post(io, [&, services = next.services] { update_watcher(*services); });
   };
-  follow(*first.services);
+  update_watcher(*first.services);
   for (const config::Listener& listener : first.services->listeners) {
     const auto at = gateway.address(listener.id);
     std::fprintf(stderr, "forkwick: listener %s at %s:%u\n", listener.id.c_str(),
@@ -92,7 +94,7 @@
   return kDone;
 }
 
-int Check(const std::string& path, bool json) {
+int CheckFile(const std::string& path, bool json) {
   const auto parsed = config::LoadServices(path);
   if (json) {
     nlohmann::json out = {
@@ -116,22 +118,23 @@
   return parsed.services ? kDone : kFailed;
 }
 
-struct Asked {
+// The request that `forkwick route` explains.
+struct RouteQuery {
   std::string host, path = "/", method = "GET", class_name, listener;
   std::vector<std::string> headers;
 };
 
-int Explain(const std::string& file, const Asked& asked) {
+int ExplainRoute(const std::string& file, const RouteQuery& query) {
   const auto parsed = config::LoadServices(file);
   if (!parsed.services) return PrintIssues(parsed.issues, stderr), kFailed;
   const config::Services& services = *parsed.services;
   std::string error;
-  const auto target = routing::ParseTarget(asked.method, asked.path, error);
+  const auto target = routing::ParseTarget(query.method, query.path, error);
   if (!target) return std::fprintf(stderr, "--path: %s\n", error.c_str()), kUsage;
-  const auto authority = routing::ParseAuthority(asked.host, error);
+  const auto authority = routing::ParseAuthority(query.host, error);
   if (!authority) return std::fprintf(stderr, "--host: %s\n", error.c_str()), kUsage;
-  routing::Request request{authority->host, target->path, asked.method, asked.class_name, asked.listener};
-  for (const std::string& header : asked.headers) {
+  routing::Request request{authority->host, target->path, query.method, query.class_name, query.listener};
+  for (const std::string& header : query.headers) {
     const std::size_t colon = header.find(':');
     if (colon == std::string::npos)
       return std::fprintf(stderr, "--header: found '%s', expected 'Name: value'\n", header.c_str()), kUsage;
@@ -140,15 +143,15 @@
         {std::string_view(header).substr(0, colon),
          value == std::string::npos ? std::string_view() : std::string_view(header).substr(value)});
   }
-  const auto match = services.table.Match(request);
-  const auto reasons = services.table.Explain(request);
+  const auto match = services.route_table.Match(request);
+  const auto reasons = services.route_table.Explain(request);
   for (std::size_t i = 0; i < reasons.size(); ++i) {
     std::printf("  not %s: %s\n", services.routes[i].match.id.c_str(), reasons[i].c_str());
   }
   for (const std::string& reading : routing::AlternativeReadings(target->path)) {
-    routing::Request other = request;
-    other.path = reading;
-    if (services.table.Match(other) == match) continue;
+    routing::Request alternative = request;
+    alternative.path = reading;
+    if (services.route_table.Match(alternative) == match) continue;
     std::printf("refused with 400: a host may take the path for %s, which goes elsewhere\n", reading.c_str());
     return kNoRoute;
   }
@@ -166,35 +169,37 @@
 int Main(int argc, char** argv) {
   if (argc <= 1) return RunPlatform();
   CLI::App app(
-      "A gateway for HTTP services. Without arguments: the platform's gateway, told by NODE_* variables.",
+      "A gateway for HTTP services. Without arguments: the platform's gateway, configured by NODE_* "
+      "variables.",
       "forkwick");
   app.require_subcommand(1);
   std::string file;
   bool json = false;
-  Asked asked;
+  RouteQuery query;
   auto* const run = app.add_subcommand("run", "run the services of a file until SIGTERM; SIGHUP reloads it");
   run->add_option("--config", file, "the operators' file")->required();
   auto* const check =
-      app.add_subcommand("check", "tell all that is wrong with a file: exit code 0 if nothing, else 1");
+      app.add_subcommand("check", "check a file and print its issues: exit code 0 if there are none, else 1");
   check->add_option("file", file, "the operators' file")->required();
-  check->add_flag("--json", json, "for programs");
+  check->add_flag("--json", json, "print JSON");
   auto* const route = app.add_subcommand(
-      "route", "tell which route a request takes, and why the earlier ones do not: exit code 3 if none does");
+      "route",
+      "print which route matches a request, and why the earlier ones do not: exit code 3 if none matches");
   route->add_option("file", file, "the operators' file")->required();
-  route->add_option("--host", asked.host, "its Host");
-  route->add_option("--path", asked.path, "its path, or its whole target");
-  route->add_option("--method", asked.method, "its method");
-  route->add_option("--class", asked.class_name, "the class that it states");
-  route->add_option("--listener", asked.listener, "the listener that it comes in by");
-  route->add_option("--header", asked.headers, "a header of it, as 'Name: value'; may be repeated");
+  route->add_option("--host", query.host, "the request's Host");
+  route->add_option("--path", query.path, "the request's path, or its whole target");
+  route->add_option("--method", query.method, "the request's method");
+  route->add_option("--class", query.class_name, "the class that the client states");
+  route->add_option("--listener", query.listener, "the id of the listener that receives the request");
+  route->add_option("--header", query.headers, "a header of the request, as 'Name: value'; may be repeated");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kDone : kUsage;
   }
   if (run->parsed()) return RunServices(file);
-  if (check->parsed()) return Check(file, json);
-  return Explain(file, asked);
+  if (check->parsed()) return CheckFile(file, json);
+  return ExplainRoute(file, query);
 }
 
 }  // namespace
--- a/src/xds/session.cpp
+++ b/src/xds/session.cpp
@@ -6,43 +6,48 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr std::size_t kMostReason = 500;
-constexpr std::size_t kMostNames = 100;    // of a rejected answer, to be told
-constexpr std::size_t kResourceHead = 64;  // bytes of a resource in an answer beside its name and content
+constexpr std::size_t kMaxReasonBytes = 500;
+constexpr std::size_t kMaxRejectedNames = 100;      // names kept of a rejected response
+constexpr std::size_t kResourceOverheadBytes = 64;  // of a resource in a response, beside name and content
 
-bool IsWhole(Type type) { return type == Type::kCluster || type == Type::kListener; }
+// In the state-of-the-world variant, a response of these types lists all resources (published protocol).
+bool IsFullStateType(ResourceType type) {
+  return type == ResourceType::kCluster || type == ResourceType::kListener;
+}
 
 }  // namespace
 
-Session::Session(Form form, const SessionBounds& bounds) : form_(form), bounds_(bounds) {}
+Session::Session(Variant variant, const SessionLimits& limits) : variant_(variant), limits_(limits) {}
 
-bool Session::Wants(const State& state, const std::string& name) const {
-  if (state.wildcard || state.names.contains(name)) return true;
+bool Session::IsWanted(const TypeState& state, const std::string& name) const {
+  if (state.is_wildcard || state.names.contains(name)) return true;
   return !state.collections.empty() && state.collections.contains(std::string(CollectionOf(name)));
 }
 
-bool Session::Subscribed(Type type, const std::string& name) const { return Wants(Of(type), name); }
+bool Session::IsSubscribed(ResourceType type, const std::string& name) const {
+  return IsWanted(StateOf(type), name);
+}
 
-bool Session::Settled(Type type, const std::string& name) const {
-  const State& state = Of(type);
-  const ResourcePtr held = state.held.Find(name), latest = state.latest.Find(name);
-  return held && latest && held->version == latest->version;
+bool Session::HasAcceptedLatest(ResourceType type, const std::string& name) const {
+  const TypeState& state = StateOf(type);
+  const ResourcePtr accepted = state.accepted.Find(name), latest = state.latest.Find(name);
+  return accepted && latest && accepted->version == latest->version;
 }
 
-ResourcePtr Session::Oldest(Type type, const std::string& name) const {
-  const State& state = Of(type);
-  if (ResourcePtr held = state.held.Find(name)) return held;
-  for (const Sent& sent : state.out) {
+ResourcePtr Session::OldestUsable(ResourceType type, const std::string& name) const {
+  const TypeState& state = StateOf(type);
+  if (ResourcePtr accepted = state.accepted.Find(name)) return accepted;
+  for (const SentResponse& sent : state.unacknowledged) {
     const auto found = sent.changed.find(name);
     if (found != sent.changed.end()) return found->second;
   }
   return nullptr;
 }
 
-Holding Session::OldestOfAll(Type type) const {
-  const State& state = Of(type);
-  Holding all = state.held;
-  for (const Sent& sent : state.out) {
+HeldResources Session::AllOldestUsable(ResourceType type) const {
+  const TypeState& state = StateOf(type);
+  HeldResources all = state.accepted;
+  for (const SentResponse& sent : state.unacknowledged) {
     for (const auto& [name, resource] : sent.changed) {
       if (!all.Find(name)) all.Set(name, resource);
     }
@@ -50,380 +55,399 @@
   return all;
 }
 
-void Session::Again(Type type, const std::string& name) {
-  State& state = Of(type);
-  Forget(state, name);
-  state.dirty = true;
+void Session::MarkForResend(ResourceType type, const std::string& name) {
+  TypeState& state = StateOf(type);
+  ForgetResource(state, name);
+  state.needs_full_comparison = true;
 }
 
-void Session::Forget(State& state, const std::string& name) {
-  state.held.Erase(name);
+void Session::ForgetResource(TypeState& state, const std::string& name) {
+  state.accepted.Erase(name);
   state.latest.Erase(name);
-  state.missing.erase(name);
-  state.rejected.erase(name);
-  state.one_by_one.erase(name);
+  state.reported_missing.erase(name);
+  state.rejected_versions.erase(name);
+  state.retry_individually.erase(name);
 }
 
-void Session::ForgetRest(State& state) {
+void Session::ForgetUnwanted(TypeState& state) {
   std::vector<std::string> left;
   state.latest.ForEach([&](const std::string& name, const ResourcePtr&) {
-    if (!Wants(state, name)) left.push_back(name);
+    if (!IsWanted(state, name)) left.push_back(name);
   });
-  for (const std::string& name : left) Forget(state, name);
+  for (const std::string& name : left) ForgetResource(state, name);
 }
 
-void Session::ForgetCollection(State& state, const std::string& collection) {
-  state.held.EraseCollection(collection);
+void Session::ForgetCollection(TypeState& state, const std::string& collection) {
+  state.accepted.EraseCollection(collection);
   state.latest.EraseCollection(collection);
 }
 
-void Session::Note(State& state, const Sent& sent) {
+void Session::ApplyToLatest(TypeState& state, const SentResponse& sent) {
   for (const auto& [name, resource] : sent.changed) state.latest.Set(name, resource);
   for (const std::string& name : sent.removed) state.latest.Erase(name);
 }
 
-std::optional<std::string> Session::Take(const Request& request, const Snapshot& snapshot) {
-  State& state = Of(request.type);
+std::optional<std::string> Session::HandleRequest(const XdsRequest& request, const Snapshot& snapshot) {
+  TypeState& state = StateOf(request.type);
   for (const auto* const names : {&request.names, &request.subscribe}) {
-    if (names->size() > bounds_.names)
-      return "more than " + std::to_string(bounds_.names) + " names in a request";
+    if (names->size() > limits_.max_subscriptions)
+      return "more than " + std::to_string(limits_.max_subscriptions) + " names in a request";
     for (const std::string& name : *names) {
-      if (name.size() > bounds_.name_bytes)
-        return "a name of more than " + std::to_string(bounds_.name_bytes) + " bytes";
+      if (name.size() > limits_.max_name_bytes)
+        return "a name of more than " + std::to_string(limits_.max_name_bytes) + " bytes";
     }
   }
-  if (request.initial_versions.size() > bounds_.initial) return std::string("too many initial versions");
-  Acknowledge(state, request, snapshot);
-  if (form_ == Form::kDelta) return TakeDelta(state, request, snapshot);
-  if (request.type == Type::kMember) return std::nullopt;  // this form has no collections
-  // A stale nonce: the proxy has not seen the newest answer yet, and will say it all again when it has.
-  if (state.begun && request.nonce != state.newest) {
-    ++stale_;
+  if (request.initial_versions.size() > limits_.max_initial_versions)
+    return std::string("too many initial versions");
+  HandleAcknowledgement(state, request, snapshot);
+  if (variant_ == Variant::kDelta) return HandleDelta(state, request, snapshot);
+  if (request.type == ResourceType::kLbEndpoint)
+    return std::nullopt;  // LEDS exists only in the delta variant
+  // A stale nonce: the proxy has not received the latest response yet, and repeats its request when it has.
+  if (state.has_requested && request.nonce != state.latest_nonce) {
+    ++stale_nonces_;
     return std::nullopt;
   }
-  return TakeNames(state, request, snapshot);
+  return HandleStateOfTheWorld(state, request, snapshot);
 }
 
-std::optional<std::string> Session::TakeNames(State& state, const Request& request,
-                                              const Snapshot& snapshot) {
+std::optional<std::string> Session::HandleStateOfTheWorld(TypeState& state, const XdsRequest& request,
+                                                          const Snapshot& snapshot) {
   std::set<std::string> wanted(request.names.begin(), request.names.end());
-  const bool first = !std::exchange(state.begun, true);
-  const bool wildcard =
-      IsWhole(request.type) && (wanted.empty() ? first || state.wildcard : wanted.contains("*"));
-  if (!first && wildcard == state.wildcard && wanted == state.names) return std::nullopt;
-  state.dirty = true;
-  if (first) {
-    state.due = true;
-    // A proxy that comes over from another instance, or back after a restart, with the whole list as it is
-    // now.
-    if (wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
-      state.due = false;
-      snapshot.of(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
-        state.held.Set(name, resource);
+  const bool is_first = !std::exchange(state.has_requested, true);
+  const bool is_wildcard = IsFullStateType(request.type) &&
+                           (wanted.empty() ? is_first || state.is_wildcard : wanted.contains("*"));
+  if (!is_first && is_wildcard == state.is_wildcard && wanted == state.names) return std::nullopt;
+  state.needs_full_comparison = true;
+  if (is_first) {
+    state.must_respond = true;
+    // A proxy that has switched from another instance, or reconnected after a restart, and already has the
+    // current list: nothing is sent.
+    if (is_wildcard && !request.version.empty() && request.version == snapshot.version(request.type)) {
+      state.must_respond = false;
+      snapshot.table(request.type).ForEach([&](const std::string& name, const ResourcePtr& resource) {
+        state.accepted.Set(name, resource);
         state.latest.Set(name, resource);
       });
     }
   }
-  for (const std::string& name : wanted) state.due = state.due || (!first && !state.names.contains(name));
-  state.wildcard = wildcard;
+  for (const std::string& name : wanted)
+    state.must_respond = state.must_respond || (!is_first && !state.names.contains(name));
+  state.is_wildcard = is_wildcard;
   state.names = std::move(wanted);
-  ForgetRest(state);
+  ForgetUnwanted(state);
   return std::nullopt;
 }
 
-std::optional<std::string> Session::TakeDelta(State& state, const Request& request,
-                                              const Snapshot& snapshot) {
-  const bool first = !std::exchange(state.begun, true);
-  if (!first && request.subscribe.empty() && request.unsubscribe.empty()) return std::nullopt;
-  state.dirty = true;
-  if (first) {
-    state.due = true;
-    state.wildcard = IsWhole(request.type) && request.subscribe.empty();
+std::optional<std::string> Session::HandleDelta(TypeState& state, const XdsRequest& request,
+                                                const Snapshot& snapshot) {
+  const bool is_first = !std::exchange(state.has_requested, true);
+  if (!is_first && request.subscribe.empty() && request.unsubscribe.empty()) return std::nullopt;
+  state.needs_full_comparison = true;
+  if (is_first) {
+    state.must_respond = true;
+    state.is_wildcard = IsFullStateType(request.type) && request.subscribe.empty();
     for (const auto& [name, version] : request.initial_versions) {
-      ResourcePtr resource = snapshot.of(request.type).Find(name);
+      ResourcePtr resource = snapshot.table(request.type).Find(name);
       if (!resource || resource->version != version)
         resource = std::make_shared<const Resource>(Resource{name, version, {}, {}, 0});
-      state.held.Set(name, resource);
+      state.accepted.Set(name, resource);
       state.latest.Set(name, resource);
-      state.due = false;  // nothing is owed to one that has all that there is
+      state.must_respond = false;  // a proxy that is up to date needs no response
     }
   }
   const auto is_collection = [&](const std::string& name) {
-    return request.type == Type::kMember && name.ends_with("/*");
+    return request.type == ResourceType::kLbEndpoint && name.ends_with("/*");
   };
   for (const std::string& name : request.subscribe) {
     if (name == "*") {
-      state.wildcard = true;
+      state.is_wildcard = true;
     } else if (is_collection(name)) {
       const std::string collection = name.substr(0, name.size() - 1);
-      if (!first) ForgetCollection(state, collection);
+      if (!is_first) ForgetCollection(state, collection);
       state.collections.insert(collection);
     } else {
-      // Asking for a name again asks for the resource again, but for what the proxy says it has.
-      if (!(first && request.initial_versions.contains(name))) Forget(state, name);
+      // Subscribing to a name again requests the resource again, unless the proxy says that it has it.
+      if (!(is_first && request.initial_versions.contains(name))) ForgetResource(state, name);
       state.names.insert(name);
     }
   }
-  if (state.names.size() + state.collections.size() > bounds_.names)
-    return "more than " + std::to_string(bounds_.names) + " subscriptions";
+  if (state.names.size() + state.collections.size() > limits_.max_subscriptions)
+    return "more than " + std::to_string(limits_.max_subscriptions) + " subscriptions";
   for (const std::string& name : request.unsubscribe) {
     if (name == "*") {
-      state.wildcard = false;
-      ForgetRest(state);
+      state.is_wildcard = false;
+      ForgetUnwanted(state);
     } else if (is_collection(name)) {
       const std::string collection = name.substr(0, name.size() - 1);
       state.collections.erase(collection);
       ForgetCollection(state, collection);
     } else {
       state.names.erase(name);
-      if (!Wants(state, name)) Forget(state, name);
+      if (!IsWanted(state, name)) ForgetResource(state, name);
     }
   }
   return std::nullopt;
 }
 
-void Session::Acknowledge(State& state, const Request& request, const Snapshot& snapshot) {
+void Session::HandleAcknowledgement(TypeState& state, const XdsRequest& request, const Snapshot& snapshot) {
   if (request.nonce.empty()) return;
-  const auto found = std::find_if(state.out.begin(), state.out.end(),
-                                  [&](const Sent& sent) { return sent.nonce == request.nonce; });
-  if (found == state.out.end()) return;  // of another stream, or answered before
-  if (!request.error) {
+  const auto found = std::find_if(state.unacknowledged.begin(), state.unacknowledged.end(),
+                                  [&](const SentResponse& sent) { return sent.nonce == request.nonce; });
+  if (found == state.unacknowledged.end()) return;  // of another stream, or already answered
+  if (!request.error_detail) {
     ++acks_;
-    // Answers are acknowledged in their order: the earlier ones were taken in with this one.
+    // Responses are processed in order: an ACK covers all earlier ones, too.
     const auto end = found + 1;
-    bool content = false;
-    for (auto sent = state.out.begin(); sent != end; ++sent) {
-      content = content || !sent->changed.empty() || !sent->removed.empty();
+    bool has_changes = false;
+    for (auto sent = state.unacknowledged.begin(); sent != end; ++sent) {
+      has_changes = has_changes || !sent->changed.empty() || !sent->removed.empty();
       for (const auto& [name, resource] : sent->changed) {
-        if (!Wants(state, name)) continue;
-        state.held.Set(name, resource);
-        state.one_by_one.erase(name);
+        if (!IsWanted(state, name)) continue;
+        state.accepted.Set(name, resource);
+        state.retry_individually.erase(name);
       }
-      for (const std::string& name : sent->removed) state.held.Erase(name);
+      for (const std::string& name : sent->removed) state.accepted.Erase(name);
     }
-    state.out.erase(state.out.begin(), end);
-    if (request.type == Type::kRoute && content) {
-      state.clusters.clear();
-      state.held.ForEach([&](const std::string&, const ResourcePtr& resource) {
-        state.clusters.insert(resource->clusters.begin(), resource->clusters.end());
+    state.unacknowledged.erase(state.unacknowledged.begin(), end);
+    if (request.type == ResourceType::kRoute && has_changes) {
+      state.route_clusters.clear();
+      state.accepted.ForEach([&](const std::string&, const ResourcePtr& resource) {
+        state.route_clusters.insert(resource->referenced_clusters.begin(),
+                                    resource->referenced_clusters.end());
       });
-      Of(Type::kCluster).dirty = true;  // some may go now
+      // Clusters that no route refers to any more may be removed now.
+      StateOf(ResourceType::kCluster).needs_full_comparison = true;
     }
-    // It has all that there is: as do the others, who share one list of it.
-    if (content && state.out.empty() && !state.dirty && state.seen == snapshot.serial() &&
-        state.rejected.empty() && state.names.empty() && !state.wildcard && !state.collections.empty()) {
-      state.held.Become(snapshot.shared(request.type), state.collections);
-      state.latest = state.held;
+    // The proxy holds its collections exactly as the snapshot has them: share the snapshot's table.
+    if (has_changes && state.unacknowledged.empty() && !state.needs_full_comparison &&
+        state.compared_serial == snapshot.serial() && state.rejected_versions.empty() &&
+        state.names.empty() && !state.is_wildcard && !state.collections.empty()) {
+      state.accepted.ShareCollections(snapshot.shared_table(request.type), state.collections);
+      state.latest = state.accepted;
     }
     return;
   }
   ++nacks_;
-  state.dirty = true;
-  Rejection rejection{request.type, {}, request.error->substr(0, kMostReason)};
+  state.needs_full_comparison = true;
+  Rejection rejection{request.type, {}, request.error_detail->substr(0, kMaxReasonBytes)};
   for (const auto& [name, resource] : found->changed) {
-    if (rejection.names.size() < kMostNames) rejection.names.push_back(name);
+    if (rejection.names.size() < kMaxRejectedNames) rejection.names.push_back(name);
   }
   if (found->changed.size() > 1) {
-    // One of several is bad, and the proxy took none. Each is tried alone: the bad one must not hold back the
-    // others.
-    for (const auto& [name, resource] : found->changed) state.one_by_one.insert(name);
+    // At least one of several resources is bad, and the proxy has rejected all of them. Each is sent alone,
+    // so that the bad one does not hold back the others.
+    for (const auto& [name, resource] : found->changed) state.retry_individually.insert(name);
   } else {
     for (const auto& [name, resource] : found->changed) {
-      state.rejected[name] = resource->version;
-      state.one_by_one.erase(name);
+      state.rejected_versions[name] = resource->version;
+      state.retry_individually.erase(name);
     }
   }
-  state.out.erase(found);
-  // What the proxy will hold: what it has accepted, and what is on its way still.
-  state.latest = state.held;
-  for (const Sent& sent : state.out) Note(state, sent);
+  state.unacknowledged.erase(found);
+  // The rejected response no longer counts: accepted resources plus the remaining unacknowledged responses.
+  state.latest = state.accepted;
+  for (const SentResponse& sent : state.unacknowledged) ApplyToLatest(state, sent);
   last_rejection_ = std::move(rejection);
 }
 
-ResourcePtr Session::Desired(Type type, const std::string& name, const Snapshot& snapshot) const {
-  const State& state = Of(type);
-  if (!Wants(state, name)) return nullptr;
-  if (const ResourcePtr found = snapshot.of(type).Find(name)) {
-    if (found->unknown) return state.latest.Find(name);
-    const auto rejected = state.rejected.find(name);
-    if (rejected == state.rejected.end() || rejected->second != found->version) return found;
-    return state.latest.Find(name);  // what it has, or will have, in place of that
+ResourcePtr Session::DesiredResource(ResourceType type, const std::string& name,
+                                     const Snapshot& snapshot) const {
+  const TypeState& state = StateOf(type);
+  if (!IsWanted(state, name)) return nullptr;
+  if (const ResourcePtr found = snapshot.table(type).Find(name)) {
+    if (found->is_placeholder) return state.latest.Find(name);
+    const auto rejected = state.rejected_versions.find(name);
+    if (rejected == state.rejected_versions.end() || rejected->second != found->version) return found;
+    return state.latest.Find(name);  // keep what it has or is about to have instead
   }
-  // Break after make: a cluster that the proxy's routes still lead to stays until they don't.
-  if (type == Type::kCluster && Of(Type::kRoute).clusters.contains(name)) return state.held.Find(name);
+  // Make before break: a cluster that the proxy's routes still refer to is not removed yet.
+  if (type == ResourceType::kCluster && StateOf(ResourceType::kRoute).route_clusters.contains(name))
+    return state.accepted.Find(name);
   return nullptr;
 }
 
-Resources Session::DesiredAll(Type type, const Snapshot& snapshot) const {
-  const State& state = Of(type);
-  const Table& all = snapshot.of(type);
-  Resources desired;
+ResourceMap Session::AllDesired(ResourceType type, const Snapshot& snapshot) const {
+  const TypeState& state = StateOf(type);
+  const ResourceTable& all = snapshot.table(type);
+  ResourceMap desired;
   const auto add = [&](const std::string& name) {
-    if (auto resource = Desired(type, name, snapshot)) desired[name] = std::move(resource);
+    if (auto resource = DesiredResource(type, name, snapshot)) desired[name] = std::move(resource);
   };
-  if (state.wildcard) {
+  if (state.is_wildcard) {
     all.ForEach([&](const std::string& name, const ResourcePtr&) { add(name); });
   } else {
     for (const std::string& name : state.names) add(name);
     for (const std::string& collection : state.collections) {
-      all.ForEachIn(collection, [&](const std::string& name, const ResourcePtr&) { add(name); });
+      all.ForEachInCollection(collection, [&](const std::string& name, const ResourcePtr&) { add(name); });
     }
   }
-  if (type == Type::kCluster) {
-    for (const std::string& name : Of(Type::kRoute).clusters) add(name);
+  if (type == ResourceType::kCluster) {
+    for (const std::string& name : StateOf(ResourceType::kRoute).route_clusters) add(name);
   }
   return desired;
 }
 
-void Session::Look(Type type, const std::string& name, const ResourcePtr& desired, Sent& sent) {
-  State& state = Of(type);
+void Session::CompareResource(ResourceType type, const std::string& name, const ResourcePtr& desired,
+                              SentResponse& sent) {
+  TypeState& state = StateOf(type);
   const ResourcePtr known = state.latest.Find(name);
   if (desired) {
-    state.missing.erase(name);
+    state.reported_missing.erase(name);
     if (!known || known->version != desired->version) {
       sent.changed[name] = desired;
     } else if (known != desired) {
-      // Told by its version alone until now, or built anew with the same content.
-      const ResourcePtr held = state.held.Find(name);
+      // Known by version only until now (initial_versions), or rebuilt with the same content.
+      const ResourcePtr accepted = state.accepted.Find(name);
       state.latest.Set(name, desired);
-      if (held && held->version == desired->version) state.held.Set(name, desired);
+      if (accepted && accepted->version == desired->version) state.accepted.Set(name, desired);
     }
     return;
   }
   if (known) {
-    if (form_ == Form::kDelta || IsWhole(type)) {
-      sent.removed.insert(name);  // in the other form by not being listed
+    if (variant_ == Variant::kDelta || IsFullStateType(type)) {
+      sent.removed.insert(name);  // state of the world: removed by not being listed
     } else {
-      Forget(state, name);  // this form has no word for it
+      ForgetResource(state, name);  // state of the world can't express a removal of this type
     }
-  } else if (form_ == Form::kDelta && state.names.contains(name) && state.missing.insert(name).second) {
+  } else if (variant_ == Variant::kDelta && state.names.contains(name) &&
+             state.reported_missing.insert(name).second) {
     sent.removed.insert(name);
   }
 }
 
-Session::Sent Session::Compare(Type type, const Snapshot& snapshot,
-                               const std::optional<std::set<std::string>>& names,
-                               std::optional<Resources>& whole) {
-  State& state = Of(type);
-  Sent sent;
+Session::SentResponse Session::ComputeChanges(ResourceType type, const Snapshot& snapshot,
+                                              const std::optional<std::set<std::string>>& names,
+                                              std::optional<ResourceMap>& all_desired) {
+  TypeState& state = StateOf(type);
+  SentResponse sent;
   if (names) {
     for (const std::string& name : *names) {
-      if (!snapshot.Unknown(type, name)) Look(type, name, Desired(type, name, snapshot), sent);
+      if (!snapshot.IsPlaceholder(type, name))
+        CompareResource(type, name, DesiredResource(type, name, snapshot), sent);
     }
-    // Who is told of a change by the whole list is told of all.
-    if ((sent.changed.empty() && sent.removed.empty()) || form_ == Form::kDelta || !IsWhole(type))
+    // A full-state response lists everything, so everything has to be compared.
+    if ((sent.changed.empty() && sent.removed.empty()) || variant_ == Variant::kDelta ||
+        !IsFullStateType(type))
       return sent;
-    sent = Sent();
+    sent = SentResponse();
   }
-  whole = DesiredAll(type, snapshot);
-  for (const auto& [name, resource] : *whole) Look(type, name, resource, sent);
+  all_desired = AllDesired(type, snapshot);
+  for (const auto& [name, resource] : *all_desired) CompareResource(type, name, resource, sent);
   std::vector<std::string> rest;
   state.latest.ForEach([&](const std::string& name, const ResourcePtr&) {
-    if (!whole->contains(name)) rest.push_back(name);
+    if (!all_desired->contains(name)) rest.push_back(name);
   });
   rest.insert(rest.end(), state.names.begin(), state.names.end());
   for (const std::string& name : rest) {
-    if (!whole->contains(name) && !snapshot.Unknown(type, name)) Look(type, name, nullptr, sent);
+    if (!all_desired->contains(name) && !snapshot.IsPlaceholder(type, name))
+      CompareResource(type, name, nullptr, sent);
   }
   return sent;
 }
 
-void Session::Cut(State& state, Sent& sent) const {
+void Session::LimitResponseSize(TypeState& state, SentResponse& sent) const {
   std::size_t bytes = 0;
   auto at = sent.changed.begin();
   for (; at != sent.changed.end(); ++at) {
-    bytes += at->second->bytes.size() + at->first.size() + kResourceHead;
-    if (bytes > bounds_.answer_bytes && at != sent.changed.begin()) break;
+    bytes += at->second->bytes.size() + at->first.size() + kResourceOverheadBytes;
+    if (bytes > limits_.max_response_bytes && at != sent.changed.begin()) break;
   }
   if (at == sent.changed.end()) return;
   sent.changed.erase(at, sent.changed.end());
-  state.dirty = true;
+  state.needs_full_comparison = true;
 }
 
-// Routes and listeners wait until the clusters and endpoints that were sent before them are taken in.
-// Endpoints wait for nothing: a drain may be among them.
-bool Session::Waits(Type type) const {
-  if (type != Type::kListener && type != Type::kRoute) return false;
-  return !Of(Type::kCluster).out.empty() || !Of(Type::kEndpoint).out.empty();
+// Routes and listeners wait until the clusters and endpoints sent before them are acknowledged. Endpoints
+// wait for nothing, because they may contain a drain.
+bool Session::WaitsForClusters(ResourceType type) const {
+  if (type != ResourceType::kListener && type != ResourceType::kRoute) return false;
+  return !StateOf(ResourceType::kCluster).unacknowledged.empty() ||
+         !StateOf(ResourceType::kEndpoint).unacknowledged.empty();
 }
 
-std::optional<Response> Session::Next(const Snapshot& snapshot) {
-  stuck_ = false;
-  for (std::size_t i = 0; i < kTypes; ++i) {
-    const Type type = static_cast<Type>(i);
-    State& state = states_[i];
-    if (!state.begun || Waits(type)) continue;
-    if (!state.dirty && !state.due && state.seen == snapshot.serial()) continue;
-    // Changes of a rejected answer go one at a time.
-    if (!state.one_by_one.empty() && !state.out.empty()) continue;
-    std::optional<std::set<std::string>> names(std::in_place);  // that may have changed; nothing if all may
-    if (state.dirty || state.due || !snapshot.ChangedSince(state.seen, type, *names)) names.reset();
+std::optional<XdsResponse> Session::NextResponse(const Snapshot& snapshot) {
+  is_blocked_ = false;
+  for (std::size_t i = 0; i < kResourceTypeCount; ++i) {
+    const ResourceType type = static_cast<ResourceType>(i);
+    TypeState& state = states_[i];
+    if (!state.has_requested || WaitsForClusters(type)) continue;
+    if (!state.needs_full_comparison && !state.must_respond && state.compared_serial == snapshot.serial())
+      continue;
+    // Resources of a rejected response are sent one at a time.
+    if (!state.retry_individually.empty() && !state.unacknowledged.empty()) continue;
+    std::optional<std::set<std::string>> names(std::in_place);  // that may have changed; nullopt if all may
+    if (state.needs_full_comparison || state.must_respond ||
+        !snapshot.AddNamesChangedSince(state.compared_serial, type, *names))
+      names.reset();
     if (names && names->empty()) {
-      state.seen = snapshot.serial();
+      state.compared_serial = snapshot.serial();
       continue;
     }
-    if (state.out.size() >= bounds_.unacknowledged) {
-      stuck_ = true;
+    if (state.unacknowledged.size() >= limits_.max_unacknowledged_responses) {
+      is_blocked_ = true;
       continue;
     }
-    std::optional<Resources> whole;
-    Sent sent = Compare(type, snapshot, names, whole);
-    state.dirty = false;
-    state.seen = snapshot.serial();
-    const bool all_of_it = form_ == Form::kStateOfTheWorld && IsWhole(type);
-    if (!state.one_by_one.empty()) {
-      std::erase_if(state.one_by_one, [&](const std::string& name) { return !sent.changed.contains(name); });
-      if (!state.one_by_one.empty()) {
-        const std::string alone = *state.one_by_one.begin();
-        const ResourcePtr resource = sent.changed[alone];
-        sent.changed = {{alone, resource}};
-        state.dirty = true;
+    std::optional<ResourceMap> all_desired;
+    SentResponse sent = ComputeChanges(type, snapshot, names, all_desired);
+    state.needs_full_comparison = false;
+    state.compared_serial = snapshot.serial();
+    const bool is_full_state = variant_ == Variant::kStateOfTheWorld && IsFullStateType(type);
+    if (!state.retry_individually.empty()) {
+      std::erase_if(state.retry_individually,
+                    [&](const std::string& name) { return !sent.changed.contains(name); });
+      if (!state.retry_individually.empty()) {
+        const std::string name = *state.retry_individually.begin();
+        const ResourcePtr resource = sent.changed[name];
+        sent.changed = {{name, resource}};
+        state.needs_full_comparison = true;
       }
     }
-    if (sent.changed.empty() && sent.removed.empty() && !state.due) continue;
-    if (!all_of_it) Cut(state, sent);
-    if (all_of_it && !whole) whole = DesiredAll(type, snapshot);
-    if (all_of_it && state.one_by_one.empty()) {
-      // The whole list goes: if it is rejected, whatever of it was not accepted before may be to blame.
-      for (const auto& [name, resource] : *whole) {
-        const ResourcePtr held = state.held.Find(name);
-        if (!held || held->version != resource->version) sent.changed[name] = resource;
+    if (sent.changed.empty() && sent.removed.empty() && !state.must_respond) continue;
+    if (!is_full_state) LimitResponseSize(state, sent);
+    if (is_full_state && !all_desired) all_desired = AllDesired(type, snapshot);
+    if (is_full_state && state.retry_individually.empty()) {
+      // The response lists everything: if it is rejected, any resource not accepted before may be the cause.
+      for (const auto& [name, resource] : *all_desired) {
+        const ResourcePtr accepted = state.accepted.Find(name);
+        if (!accepted || accepted->version != resource->version) sent.changed[name] = resource;
       }
     }
-    state.due = false;
-    Response response;
+    state.must_respond = false;
+    XdsResponse response;
     response.type = type;
     response.version = snapshot.version(type);
     response.nonce = sent.nonce = std::to_string(++nonces_);
-    if (all_of_it) {
-      for (const auto& [name, resource] : *whole) {
+    if (is_full_state) {
+      for (const auto& [name, resource] : *all_desired) {
         if (sent.changed.contains(name)) {
           response.resources.push_back(resource);
-        } else if (const ResourcePtr held = state.held.Find(name)) {
-          response.resources.push_back(held);
+        } else if (const ResourcePtr accepted = state.accepted.Find(name)) {
+          response.resources.push_back(accepted);
         } else if (state.latest.Find(name)) {
           response.resources.push_back(resource);
         }
       }
     } else {
       for (const auto& [name, resource] : sent.changed) response.resources.push_back(resource);
-      if (form_ == Form::kDelta) response.removed.assign(sent.removed.begin(), sent.removed.end());
+      if (variant_ == Variant::kDelta) response.removed.assign(sent.removed.begin(), sent.removed.end());
     }
-    Note(state, sent);
-    state.newest = sent.nonce;
-    state.out.push_back(std::move(sent));
+    ApplyToLatest(state, sent);
+    state.latest_nonce = sent.nonce;
+    state.unacknowledged.push_back(std::move(sent));
     return response;
   }
   return std::nullopt;
 }
 
-std::optional<Response> Session::Heartbeat(Type type) {
-  State& state = Of(type);
-  if (!state.begun || state.out.size() >= bounds_.unacknowledged / 2) return std::nullopt;
-  Response response;
+std::optional<XdsResponse> Session::MakeHeartbeat(ResourceType type) {
+  TypeState& state = StateOf(type);
+  if (!state.has_requested || state.unacknowledged.size() >= limits_.max_unacknowledged_responses / 2)
+    return std::nullopt;
+  XdsResponse response;
   response.type = type;
-  response.nonce = state.newest = std::to_string(++nonces_);
-  state.out.push_back({response.nonce, {}, {}});
+  response.nonce = state.latest_nonce = std::to_string(++nonces_);
+  state.unacknowledged.push_back({response.nonce, {}, {}});
   return response;
 }
 
--- a/src/xds/session.hpp
+++ b/src/xds/session.hpp
@@ -1,8 +1,9 @@
-// One proxy's ADS stream, in either form of the protocol: what it has asked for, been sent, accepted and
-// rejected, and what it is to be sent next. Pure: no I/O, no clock; the caller moves the messages.
+// Protocol state of one proxy's ADS stream, in the state-of-the-world or the delta variant: what the proxy
+// has subscribed to, been sent, accepted and rejected, and what it is sent next. No I/O and no clock; the
+// caller moves the messages.
 //
-// Source: the published xDS protocol ("xDS REST and gRPC protocol"): versions, nonces, ACK and NACK,
-// wildcards, subscriptions, make-before-break order.
+// Implements the published xDS protocol ("xDS REST and gRPC protocol"): versions, nonces, ACK and NACK,
+// wildcards, subscriptions and make-before-break order.
 #ifndef OPALSWITCH_XDS_SESSION_HPP_
 #define OPALSWITCH_XDS_SESSION_HPP_
 
@@ -15,137 +16,151 @@
 #include <string>
 #include <vector>
 
-#include "xds/holding.hpp"
+#include "xds/held_resources.hpp"
 #include "xds/snapshot.hpp"
 
 namespace opalswitch::xds {
 
-// What a proxy may make grow.
-struct SessionBounds {
-  std::size_t names = 10000;     // subscriptions of one type; a collection counts for one
-  std::size_t initial = 200000;  // versions that a proxy says it has
-  std::size_t name_bytes = 512;
-  std::size_t unacknowledged = 8;  // answers of one type without ACK or NACK: beyond them it is not told more
-  std::size_t answer_bytes = 1 << 20;  // of resources in an answer that may be told in parts
+// Bounds on the state that one proxy can make the service keep.
+struct SessionLimits {
+  std::size_t max_subscriptions = 10000;  // names of one type; a collection counts as one
+  std::size_t max_initial_versions = 200000;
+  std::size_t max_name_bytes = 512;
+  std::size_t max_unacknowledged_responses = 8;  // of one type; no further ones are sent until an ACK or NACK
+  std::size_t max_response_bytes = 1 << 20;      // of the resources in a response that may be split
 };
 
-// A DiscoveryRequest, or a DeltaDiscoveryRequest.
-struct Request {
-  Type type = Type::kCluster;
-  std::string nonce;                                // of the answer that it acknowledges; empty if none
-  std::optional<std::string> error;                 // a NACK, with the proxy's reason
-  std::string version;                              // state of the world: the last that the proxy accepted
-  std::vector<std::string> names;                   // state of the world: all that it wants
+// A DiscoveryRequest or a DeltaDiscoveryRequest.
+struct XdsRequest {
+  ResourceType type = ResourceType::kCluster;
+  std::string nonce;                                // of the response being acknowledged; empty if none
+  std::optional<std::string> error_detail;          // set in a NACK: the proxy's reason
+  std::string version;                              // state of the world: the last version accepted
+  std::vector<std::string> names;                   // state of the world: all subscribed names
   std::vector<std::string> subscribe, unsubscribe;  // delta
-  std::map<std::string, std::string> initial_versions;  // delta, first of a stream: what it has already
+  // Delta, first request of a stream: versions of the resources that the proxy already has, by name.
+  std::map<std::string, std::string> initial_versions;
 };
 
-struct Response {
-  Type type = Type::kCluster;
+// A DiscoveryResponse or a DeltaDiscoveryResponse.
+struct XdsResponse {
+  ResourceType type = ResourceType::kCluster;
   std::string version;
   std::string nonce;
   std::vector<ResourcePtr> resources;
-  std::vector<std::string> removed;  // delta
+  std::vector<std::string> removed;  // delta: names
 };
 
+// A NACK of a proxy.
 struct Rejection {
-  Type type;
-  std::vector<std::string> names;  // of the changes in the rejected answer
-  std::string reason;              // as the proxy words it, shortened
+  ResourceType type;
+  std::vector<std::string> names;  // changed resources in the rejected response
+  std::string reason;              // the proxy's error message, truncated
 };
 
 class Session {
  public:
-  enum class Form { kStateOfTheWorld, kDelta };
-  explicit Session(Form form, const SessionBounds& bounds = SessionBounds());
-
-  // Takes a request. Gives one line if the proxy goes beyond its bounds: its stream is to be ended.
-  std::optional<std::string> Take(const Request& request, const Snapshot& snapshot);
-
-  // The next answer that is due now; nothing if there is none. To be called until then, after each request
-  // and with each new snapshot.
-  std::optional<Response> Next(const Snapshot& snapshot);
-
-  // An answer that changes nothing, to renew leases; nothing if the proxy owes too many acknowledgements
-  // already.
-  std::optional<Response> Heartbeat(Type type);
-
-  // What the proxy is known to hold of a resource, as last accepted; null if nothing. One that it said it has
-  // from elsewhere has serial 0.
-  ResourcePtr Accepted(Type type, const std::string& name) const { return Of(type).held.Find(name); }
-  // The oldest that the proxy may go by: what it has accepted, else the first that is on its way.
-  ResourcePtr Oldest(Type type, const std::string& name) const;
-  Holding OldestOfAll(Type type) const;
-  // Whether the proxy has accepted the newest version that it was sent.
-  bool Settled(Type type, const std::string& name) const;
-  // Whether it has answered all that it was sent.
-  bool Answered(Type type) const { return Of(type).out.empty(); }
-  // The proxy does not have the resource any more, though it was told: it is told again.
-  void Again(Type type, const std::string& name);
-  bool Subscribed(Type type, const std::string& name) const;
-  // Whether it is to be told of something and can't be, since it acknowledges nothing.
-  bool stuck() const { return stuck_; }
+  enum class Variant { kStateOfTheWorld, kDelta };
+  explicit Session(Variant variant, const SessionLimits& limits = SessionLimits());
+
+  // Processes a request. Returns an error message if the proxy exceeds a limit; the caller then closes its
+  // stream.
+  std::optional<std::string> HandleRequest(const XdsRequest& request, const Snapshot& snapshot);
+
+  // Returns the next response that can be sent now, or nullopt if there is none. The caller calls it after
+  // each request and with each new snapshot, until it returns nullopt.
+  std::optional<XdsResponse> NextResponse(const Snapshot& snapshot);
+
+  // Returns a response without resources, which renews leases; nullopt if the proxy has not requested the
+  // type, or if half of the allowed number of responses are unacknowledged.
+  std::optional<XdsResponse> MakeHeartbeat(ResourceType type);
+
+  // Returns the version of a resource that the proxy last accepted; null if none. A version that the proxy
+  // has reported in initial_versions and that the snapshot does not contain has serial 0.
+  ResourcePtr AcceptedResource(ResourceType type, const std::string& name) const {
+    return StateOf(type).accepted.Find(name);
+  }
+  // Returns the oldest version that the proxy may be using: the accepted one, or else the first
+  // unacknowledged one; null if it was sent none.
+  ResourcePtr OldestUsable(ResourceType type, const std::string& name) const;
+  HeldResources AllOldestUsable(ResourceType type) const;
+  // Whether the proxy has accepted the latest version of the resource that it was sent.
+  bool HasAcceptedLatest(ResourceType type, const std::string& name) const;
+  // Whether the proxy has acknowledged or rejected every response of the type.
+  bool HasAnsweredAll(ResourceType type) const { return StateOf(type).unacknowledged.empty(); }
+  // Forgets that the resource was sent, because the proxy has dropped it since; it is sent again.
+  void MarkForResend(ResourceType type, const std::string& name);
+  bool IsSubscribed(ResourceType type, const std::string& name) const;
+  // Whether the last call of NextResponse held a response back because of too many unacknowledged ones.
+  bool is_blocked() const { return is_blocked_; }
 
   std::uint64_t acks() const { return acks_; }
   std::uint64_t nacks() const { return nacks_; }
-  std::uint64_t stale() const { return stale_; }
+  std::uint64_t stale_nonces() const { return stale_nonces_; }
   const std::optional<Rejection>& last_rejection() const { return last_rejection_; }
 
  private:
-  struct Sent {
+  // The changes in a response that was sent.
+  struct SentResponse {
     std::string nonce;
-    Resources changed;
+    ResourceMap changed;
     std::set<std::string> removed;
   };
-  struct State {
-    bool begun = false;  // it has asked for this type
-    bool wildcard = false;
-    bool due = false;  // an answer is owed even if nothing has changed
+  // Subscriptions and resources of one type.
+  struct TypeState {
+    bool has_requested = false;
+    bool is_wildcard = false;
+    bool must_respond = false;  // the next response is sent even if nothing has changed
     std::set<std::string> names;
-    std::set<std::string> collections;            // of members, asked for whole
-    Holding held;                                 // accepted
-    Holding latest;                               // the same, once all answers on their way are accepted
-    std::set<std::string> missing;                // delta: asked for, not there, and told so
-    std::deque<Sent> out;                         // not acknowledged, oldest first
-    std::string newest;                           // nonce of the newest answer
-    std::map<std::string, std::string> rejected;  // versions that are not sent again, by name
-    std::set<std::string> one_by_one;             // changes of a rejected answer, to be tried alone
-    std::set<std::string> clusters;               // that accepted routes lead to, by any of them
-    std::uint64_t seen = 0;                       // the snapshot that it was last held against
-    bool dirty = true;                            // and more than that has changed since
+    std::set<std::string> collections;        // subscribed LEDS collections; each name ends in "/"
+    HeldResources accepted;                   // what the proxy has acknowledged
+    HeldResources latest;                     // `accepted` with all unacknowledged responses applied
+    std::set<std::string> reported_missing;   // delta: nonexistent names that were reported as removed
+    std::deque<SentResponse> unacknowledged;  // oldest first
+    std::string latest_nonce;
+    std::map<std::string, std::string> rejected_versions;  // by name; not sent again
+    std::set<std::string> retry_individually;  // resources of a rejected response, to be sent one at a time
+    std::set<std::string> route_clusters;      // clusters that the accepted route configurations refer to
+    std::uint64_t compared_serial = 0;         // snapshot that the state was last compared with
+    bool needs_full_comparison = true;         // the snapshot's list of changed names does not suffice
   };
 
-  State& Of(Type type) { return states_[static_cast<std::size_t>(type)]; }
-  const State& Of(Type type) const { return states_[static_cast<std::size_t>(type)]; }
-  std::optional<std::string> TakeNames(State& state, const Request& request, const Snapshot& snapshot);
-  std::optional<std::string> TakeDelta(State& state, const Request& request, const Snapshot& snapshot);
-  void Acknowledge(State& state, const Request& request, const Snapshot& snapshot);
-  static void Forget(State& state, const std::string& name);
-  // All that the proxy does not want any more.
-  void ForgetRest(State& state);
-  static void ForgetCollection(State& state, const std::string& collection);
-  // What the proxy will hold once it accepts an answer.
-  static void Note(State& state, const Sent& sent);
-  bool Wants(const State& state, const std::string& name) const;
-  // What the proxy should hold of a name now, rejected versions left aside; null if nothing.
-  ResourcePtr Desired(Type type, const std::string& name, const Snapshot& snapshot) const;
-  // The same of all names.
-  Resources DesiredAll(Type type, const Snapshot& snapshot) const;
-  // What one name adds to the next answer.
-  void Look(Type type, const std::string& name, const ResourcePtr& desired, Sent& sent);
-  // All that is to be told of a type: of these names, or of all if there are none to go by. `whole` gets what
-  // the proxy should hold, where that had to be found.
-  Sent Compare(Type type, const Snapshot& snapshot, const std::optional<std::set<std::string>>& names,
-               std::optional<Resources>& whole);
-  // Cuts an answer to what may be sent at once; the rest stays to be told.
-  void Cut(State& state, Sent& sent) const;
-  bool Waits(Type type) const;
-
-  const Form form_;
-  const SessionBounds bounds_;
-  std::array<State, kTypes> states_;
-  std::uint64_t nonces_ = 0, acks_ = 0, nacks_ = 0, stale_ = 0;
-  bool stuck_ = false;
+  TypeState& StateOf(ResourceType type) { return states_[static_cast<std::size_t>(type)]; }
+  const TypeState& StateOf(ResourceType type) const { return states_[static_cast<std::size_t>(type)]; }
+  std::optional<std::string> HandleStateOfTheWorld(TypeState& state, const XdsRequest& request,
+                                                   const Snapshot& snapshot);
+  std::optional<std::string> HandleDelta(TypeState& state, const XdsRequest& request,
+                                         const Snapshot& snapshot);
+  void HandleAcknowledgement(TypeState& state, const XdsRequest& request, const Snapshot& snapshot);
+  static void ForgetResource(TypeState& state, const std::string& name);
+  // Forgets all resources that the proxy is not subscribed to any more.
+  void ForgetUnwanted(TypeState& state);
+  static void ForgetCollection(TypeState& state, const std::string& collection);
+  // Applies a response that was sent to `state.latest`.
+  static void ApplyToLatest(TypeState& state, const SentResponse& sent);
+  bool IsWanted(const TypeState& state, const std::string& name) const;
+  // Returns the resource that the proxy should have under a name now; null if none. For a rejected version or
+  // a placeholder, that is the one that it was last sent.
+  ResourcePtr DesiredResource(ResourceType type, const std::string& name, const Snapshot& snapshot) const;
+  // The same for all subscribed names.
+  ResourceMap AllDesired(ResourceType type, const Snapshot& snapshot) const;
+  // Adds the difference between the desired and the latest version of one name to `sent`.
+  void CompareResource(ResourceType type, const std::string& name, const ResourcePtr& desired,
+                       SentResponse& sent);
+  // Returns all changes of a type to be sent: of `names`, or of all names if it is nullopt. `all_desired`
+  // receives the desired resources if they had to be computed.
+  SentResponse ComputeChanges(ResourceType type, const Snapshot& snapshot,
+                              const std::optional<std::set<std::string>>& names,
+                              std::optional<ResourceMap>& all_desired);
+  // Truncates a response to max_response_bytes; the remaining changes are found by the next comparison.
+  void LimitResponseSize(TypeState& state, SentResponse& sent) const;
+  bool WaitsForClusters(ResourceType type) const;
+
+  const Variant variant_;
+  const SessionLimits limits_;
+  std::array<TypeState, kResourceTypeCount> states_;
+  std::uint64_t nonces_ = 0, acks_ = 0, nacks_ = 0, stale_nonces_ = 0;
+  bool is_blocked_ = false;
   std::optional<Rejection> last_rejection_;
 };
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -219,17 +219,17 @@
     return times;
   }
   // Waits for the n-th call, counted from 0.
-  Peer::Taken& AwaitRequest(std::size_t n) {
+  Peer::ReceivedRequest& AwaitRequest(std::size_t n) {
     EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() > n; })) << "call " << n;
     return peer.requests.at(n);
   }
   // Answers the first call with `respond_badly` and expects that nothing of it is applied, that the next call
   // continues from the last good list, that a drain in its response is applied, and that two lines are
   // logged, the first with `expected_text`.
-  void ExpectRecoveryAfter(const std::function<void(Peer::Taken&)>& respond_badly,
+  void ExpectRecoveryAfter(const std::function<void(Peer::ReceivedRequest&)>& respond_badly,
                            const std::string& expected_text, bool is_retried_immediately = true) {
     respond_badly(AwaitRequest(0));
-    Peer::Taken& next = AwaitRequest(1);
+    Peer::ReceivedRequest& next = AwaitRequest(1);
     EXPECT_EQ(std::string(next.http.target()).find("/discovery/hosts?after=41&wait_ms="), 0u);
     EXPECT_TRUE(updates.empty());
     next.Answer(200, kDrainingHost);
@@ -261,24 +261,25 @@
 
 TEST(Discovery, RecoversFromErrorStatus) {
   DiscoveryFixture fixture(LongTimes());
-  fixture.ExpectRecoveryAfter([](Peer::Taken& call) { call.Answer(503, ""); }, "refuses (503)", false);
+  fixture.ExpectRecoveryAfter([](Peer::ReceivedRequest& call) { call.Answer(503, ""); }, "refuses (503)",
+                              false);
 }
 
 // A discovery that shuts down ends all watches together, so the policy decides when to call again.
 TEST(Discovery, RecoversFromConnectionClosedBeforeResponse) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
-      [&](Peer::Taken& call) { asio::post(fixture.io, [on = call.on] { on->Close(); }); }, "ends the watch",
-      false);
+      [&](Peer::ReceivedRequest& call) { asio::post(fixture.io, [on = call.connection] { on->Close(); }); },
+      "ends the watch", false);
 }
 
 // The connection is closed after `text`, the beginning of a response.
 void ExpectRecoveryAfterTruncation(const std::string& text) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
-      [&](Peer::Taken& call) {
-        call.on->Raw(text);
-        asio::post(fixture.io, [on = call.on] { on->Close(); });
+      [&](Peer::ReceivedRequest& call) {
+        call.connection->Raw(text);
+        asio::post(fixture.io, [on = call.connection] { on->Close(); });
       },
       "breaks its answer off");
 }
@@ -296,15 +297,15 @@
   times.body_timeout = 1000;
   DiscoveryFixture fixture(times);
   fixture.ExpectRecoveryAfter(
-      [](Peer::Taken& call) {
-        call.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
+      [](Peer::ReceivedRequest& call) {
+        call.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"revision\":42,");
       },
       "breaks its answer off");
 }
 
 TEST(Discovery, RecoversFromMalformedJson) {
   DiscoveryFixture fixture(LongTimes());
-  fixture.ExpectRecoveryAfter([](Peer::Taken& call) { call.Answer(200, "{\"revision\":42,"); },
+  fixture.ExpectRecoveryAfter([](Peer::ReceivedRequest& call) { call.Answer(200, "{\"revision\":42,"); },
                               "can't be read");
 }
 
@@ -312,7 +313,7 @@
 TEST(Discovery, RejectsListWithOneMalformedEntry) {
   DiscoveryFixture fixture(LongTimes());
   fixture.ExpectRecoveryAfter(
-      [](Peer::Taken& call) {
+      [](Peer::ReceivedRequest& call) {
         call.Answer(200, R"({"revision":42,"complete":true,"members":[)"
                          R"({"id":"h0","host_port":"127.0.0.1:1","phase":"up"},)"
                          R"({"id":"h1","host_port":"127.0.0.1:2","phase":"up","size":"large"}]})");
@@ -322,7 +323,7 @@
 
 TEST(Discovery, RecoversFromMissingResponse) {
   DiscoveryFixture fixture;
-  fixture.ExpectRecoveryAfter([](Peer::Taken&) {}, "doesn't answer in time");
+  fixture.ExpectRecoveryAfter([](Peer::ReceivedRequest&) {}, "doesn't answer in time");
 }
 
 TEST(Discovery, RejectsLowerRevisionAndRequestsCompleteList) {
@@ -340,10 +341,10 @@
 TEST(Discovery, RecoversFromLongOutageWithTwoLogLines) {
   DiscoveryFixture fixture(LongTimes());
   fixture.AwaitRequest(0);
-  fixture.peer.Vanish();
+  fixture.peer.GoOffline();
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.failures >= 20; }));
   EXPECT_EQ(fixture.log_lines.size(), 1u);
-  fixture.peer.ComeBack();
+  fixture.peer.GoOnline();
   fixture.AwaitRequest(1).Answer(200, kDrainingHost);
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return !fixture.updates.empty(); }));
   EXPECT_EQ(fixture.log_lines.size(), 2u);
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -1,5 +1,5 @@
-// forkwick-control as a process: served from a file, asked and told by its command line, killed and restarted
-// in the middle of a drain.
+// Tests of the forkwick-control program: it serves a file, is operated by its command line, and is killed and
+// restarted during a drain.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -11,10 +11,10 @@
 namespace opalswitch::testing {
 namespace {
 
-using xds::Type;
+using xds::ResourceType;
 
-struct World {
-  World() {
+struct ServiceFolder {
+  ServiceFolder() {
     char pattern[] = "/tmp/forkwick-control-XXXXXX";
     folder = mkdtemp(pattern);
     Save(
@@ -23,7 +23,7 @@
             R"({"id":"a","phase":"up","host_port":"10.0.0.1:80"},{"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
     Save("f.toml", Text(0));
   }
-  ~World() {
+  ~ServiceFolder() {
     for (const char* const name : {"hosts.json", "f.toml", "drains.json", "s"})
       unlink((folder + "/" + name).c_str());
     rmdir(folder.c_str());
@@ -45,17 +45,17 @@
     std::ofstream(folder + "/" + name + ".new") << text;
     std::rename((folder + "/" + name + ".new").c_str(), (folder + "/" + name).c_str());
   }
-  // The port that the process serves at, once it does.
+  // Waits until the process listens and returns its port.
   static int PortOf(const Process& process) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      const std::string said = process.Errors(), mark = "serves xDS at 127.0.0.1:";
-      const std::size_t at = said.find(mark);
-      if (at != std::string::npos && said.find('\n', at) != std::string::npos)
-        return std::stoi(said.substr(at + mark.size()));
+      const std::string output = process.StandardError(), marker = "serves xDS at 127.0.0.1:";
+      const std::size_t at = output.find(marker);
+      if (at != std::string::npos && output.find('\n', at) != std::string::npos)
+        return std::stoi(output.substr(at + marker.size()));
       std::this_thread::yield();
     }
-    ADD_FAILURE() << process.Errors();
+    ADD_FAILURE() << process.StandardError();
     return 0;
   }
   Process::Arguments Run() const { return {{"run", "--config", folder + "/f.toml"}}; }
@@ -64,89 +64,91 @@
   std::string folder;
 };
 
-TEST(ControlCommand, ServesTellsAndDrains) {
-  World world;
-  Process process(world.Run());
-  const int port = World::PortOf(process);
+TEST(ControlCommand, ServesStatusDrainsAndMembershipChanges) {
+  ServiceFolder folder;
+  Process process(folder.Run());
+  const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
-  ASSERT_TRUE(MakeWhole(client));
-  EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1"));
-  const Said status = RunProgram("status --json " + world.Socket());
-  ASSERT_EQ(status.code, 0) << status.text;
-  const auto json = nlohmann::json::parse(status.text);
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
+  EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
+  const ProgramResult status = RunProgram("status --json " + folder.Socket());
+  ASSERT_EQ(status.exit_code, 0) << status.output;
+  const auto json = nlohmann::json::parse(status.output);
   EXPECT_EQ(json["pools"].size(), 2u);
   EXPECT_EQ(json["pools"][0]["strict"], true);
   EXPECT_EQ(json["proxies"][0]["id"], "proxy-1");
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 0);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_NE(drain.text.find("a is drained"), std::string::npos) << drain.text;
-  EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
-  EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
-  EXPECT_EQ(RunProgram("drain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain nobody " + world.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain a " + world.Socket()).code, 0);
-  ASSERT_TRUE(client.Await([&] { return client.RoutesAsHeld("one", "10.0.0.1"); }));
-  // Its membership is followed.
-  world.Save("hosts.json", World::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
-  ASSERT_TRUE(client.Await([&] { return !client.RoutesAsHeld("one", "10.0.0.1"); }));
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).exit_code, 0);
+  const ProgramResult drain = RunProgram("drain a --wait " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
+  EXPECT_NE(drain.output.find("a is drained"), std::string::npos) << drain.output;
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
+  EXPECT_EQ(RunProgram("drain nobody " + folder.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).exit_code, 0);
+  ASSERT_TRUE(client.Await([&] { return client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
+  // A change of the membership file is applied.
+  folder.Save("hosts.json", ServiceFolder::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
+  ASSERT_TRUE(client.Await([&] { return !client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(RunProgram("status " + world.Socket()).code, 1);  // nobody answers
-  EXPECT_EQ(RunProgram("status").code, 2);
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).exit_code, 1);  // the service has ended
+  EXPECT_EQ(RunProgram("status").exit_code, 2);
 }
 
-TEST(ControlCommand, ADrainWaitsForAProxyThatDoesNotAnswerAndNamesIt) {
-  World world;
-  Process process(world.Run());
-  XdsClient client(World::PortOf(process), true, "mute");
-  client.reply = [](Type, auto&) { return XdsClient::Reply::kNothing; };
+TEST(ControlCommand, DrainWaitsForAnUnresponsiveProxyAndNamesIt) {
+  ServiceFolder folder;
+  Process process(folder.Run());
+  XdsClient client(ServiceFolder::PortOf(process), true, "mute");
+  client.react = [](ResourceType, auto&) { return XdsClient::Reaction::kNoAnswer; };
   client.Connect();
-  client.Subscribe(Type::kEndpoint, {"two"});  // static: no lease ends the wait
-  ASSERT_TRUE(client.Await([&] { return client.held(Type::kEndpoint).size() == 1; }));
-  const Said drain = RunProgram("drain a --wait --timeout 4 " + world.Socket());
-  EXPECT_EQ(drain.code, 4) << drain.text;
-  EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
+  client.Subscribe(ResourceType::kEndpoint, {"two"});  // a static pool: no lease ends the wait
+  ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
+  const ProgramResult drain = RunProgram("drain a --wait --timeout 4 " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 4) << drain.output;
+  EXPECT_NE(drain.output.find("waits for mute, which has not answered"), std::string::npos) << drain.output;
 }
 
-// Guards the 500 ms: whoever was told nothing by either process must have stopped, and the new one must know.
-TEST(ControlCommand, KilledAndRestartedInTheMiddleOfADrainItKnowsOfTheDrain) {
-  World world;
-  std::optional<Process> process(std::in_place, world.Run());
-  int port = World::PortOf(*process);
-  world.Save("f.toml", World::Text(port));  // the same one again after the restart
-  XdsClient client(port, true, "proxy-1"), deaf(port, true, "deaf");
-  ASSERT_TRUE(MakeWhole(client));
-  deaf.Connect();
-  deaf.Subscribe(Type::kEndpoint, {"one"});
-  ASSERT_TRUE(deaf.Await([&] { return deaf.Routes("one", "10.0.0.1", true); }));
-  // From here on it takes nothing in; it goes by its lease.
-  deaf.Ignore();
-  ASSERT_EQ(RunProgram("drain a " + world.Socket()).code, 0);
+// Guards the 500 ms limit of a drain across a crash: a proxy that neither process reaches must stop by its
+// lease, and the restarted process must know of the drain.
+TEST(ControlCommand, DrainSurvivesAKillAndRestart) {
+  ServiceFolder folder;
+  std::optional<Process> process(std::in_place, folder.Run());
+  int port = ServiceFolder::PortOf(*process);
+  folder.Save("f.toml", ServiceFolder::Text(port));  // the same port after the restart
+  XdsClient client(port, true, "proxy-1"), unresponsive(port, true, "deaf");
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
+  unresponsive.Connect();
+  unresponsive.Subscribe(ResourceType::kEndpoint, {"one"});
+  ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.MayRouteTo("one", "10.0.0.1", true); }));
+  // From here on it ignores all messages and uses its endpoints until their lease expires.
+  unresponsive.IgnoreResponses();
+  ASSERT_EQ(RunProgram("drain a " + folder.Socket()).exit_code, 0);
   process->Kill();
   process->Wait();
-  ASSERT_TRUE(client.Await([&] { return client.ended(); }));
-  client.Drop();
-  process.emplace(world.Run());
-  ASSERT_EQ(World::PortOf(*process), port);
-  const Said drain = RunProgram("drain a --wait " + world.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_FALSE(deaf.Routes("one", "10.0.0.1"));  // its lease has run out before the wait was over
+  ASSERT_TRUE(client.Await([&] { return client.has_ended(); }));
+  client.Disconnect();
+  process.emplace(folder.Run());
+  ASSERT_EQ(ServiceFolder::PortOf(*process), port);
+  const ProgramResult drain = RunProgram("drain a --wait " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
+  EXPECT_FALSE(
+      unresponsive.MayRouteTo("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
   SubscribeToAll(client);
-  ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0 && IsWhole(client); }));
-  EXPECT_FALSE(client.RoutesAsHeld("one", "10.0.0.1"));
-  EXPECT_FALSE(client.RoutesAsHeld("two", "10.0.0.1"));
+  ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0 && HasAllResources(client); }));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
+  EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
 }
 
-TEST(ControlCommand, LoadReportsMoveTheWeights) {
-  World world;
-  Process process(world.Run());
-  const int port = World::PortOf(process);
+TEST(ControlCommand, LoadReportsChangeTheWeights) {
+  ServiceFolder folder;
+  Process process(folder.Run());
+  const int port = ServiceFolder::PortOf(process);
   XdsClient client(port, true, "proxy-1");
-  ASSERT_TRUE(MakeWhole(client));
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
   const std::uint32_t before = client.Weight("two", "10.0.0.3");
   LoadReporter reporter(port, "proxy-1");
-  EXPECT_EQ(reporter.Begin(), 100);  // ms, as the file says
+  EXPECT_EQ(reporter.Start(), 100);  // ms, from the file
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   while (client.Weight("two", "10.0.0.3") * 2 > before && std::chrono::steady_clock::now() < end) {
     reporter.Report("two", {{"10.0.0.1", {100, 0, 10}}, {"10.0.0.3", {100, 0, 80}}});
@@ -155,17 +157,18 @@
   EXPECT_GT(client.Weight("two", "10.0.0.3"), 0u);
 }
 
-TEST(ControlCommand, RefusesToStartWithAFileItCannotUse) {
-  World world;
-  world.Save("drains.json", "{\"drained\": 7}");
-  Process process(world.Run());
+TEST(ControlCommand, RefusesToStartWithAnInvalidFile) {
+  ServiceFolder folder;
+  folder.Save("drains.json", "{\"drained\": 7}");
+  Process process(folder.Run());
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("drains.json: drained: missing, expected"), std::string::npos)
-      << process.Errors();
-  world.Save("f.toml", World::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
-  Process other(world.Run());
+  EXPECT_NE(process.StandardError().find("drains.json: drained: missing, expected"), std::string::npos)
+      << process.StandardError();
+  folder.Save("f.toml", ServiceFolder::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
+  Process other(folder.Run());
   EXPECT_EQ(other.Wait(), 1);
-  EXPECT_NE(other.Errors().find("control.group.g.pools: found"), std::string::npos) << other.Errors();
+  EXPECT_NE(other.StandardError().find("control.group.g.pools: found"), std::string::npos)
+      << other.StandardError();
 }
 
 }  // namespace
--- a/tests/xds_resources_test.cpp
+++ b/tests/xds_resources_test.cpp
@@ -1,5 +1,5 @@
-// The operators' file as xDS resources: what a proxy routes by must send each request where the gateway's own
-// table would.
+// Tests of the xDS resources built from the operators' file: a proxy must route each request like the
+// gateway's own route table.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,9 +14,9 @@
 namespace {
 
 namespace route = envoy::config::route::v3;
-using xds::Assigned;
-using xds::Standing;
-using xds::Type;
+using xds::EndpointAssignment;
+using xds::EndpointHealth;
+using xds::ResourceType;
 
 std::shared_ptr<const config::Services> File(const std::string& routes) {
   return Parsed(kListenerAndClasses + R"([request]
@@ -35,16 +35,17 @@
 }
 
 template <typename Message>
-Message Read(const xds::Snapshot& snapshot, Type type, const std::string& name) {
+Message Read(const xds::Snapshot& snapshot, ResourceType type, const std::string& name) {
   Message message;
-  const xds::ResourcePtr found = snapshot.of(type).Find(name);
+  const xds::ResourcePtr found = snapshot.table(type).Find(name);
   if (!found || !message.ParseFromString(found->bytes)) {
     ADD_FAILURE() << name;
   }
   return message;
 }
 
-// Where a proxy sends a request by the published rules: the most special domain, then the first route.
+// Returns the id of the route that a proxy selects by the published rules: the most specific domain, then the
+// first matching route; "none" without a match.
 std::string ProxyRoute(const route::RouteConfiguration& routes, const routing::Request& request) {
   const route::VirtualHost* best = nullptr;
   std::size_t rank = 0;
@@ -86,7 +87,7 @@
   return "none";
 }
 
-TEST(XdsResources, RouteAsTheGatewaysOwnTableDoes) {
+TEST(XdsResources, ProxiesRouteLikeTheGatewaysRouteTable) {
   std::mt19937 random(9);
   const std::vector<std::string> hosts = {"a.org", "b.a.org", "*.org", "*.a.org", "c.net"};
   const std::vector<std::string> paths = {"/a", "/a/b", "/b", "/ab"};
@@ -116,7 +117,7 @@
     }
     const routing::RouteTable own(table);
     const auto snapshot = xds::BuildSnapshot(*services, {}, {});
-    const auto routes = Read<route::RouteConfiguration>(*snapshot, Type::kRoute, "routes/in");
+    const auto routes = Read<route::RouteConfiguration>(*snapshot, ResourceType::kRoute, "routes/in");
     for (int q = 0; q < 80; ++q) {
       const std::string host =
           pick(std::vector<std::string>{"a.org", "b.a.org", "x.a.org", "c.net", "d.net", "x.org", "org"});
@@ -133,12 +134,12 @@
   EXPECT_GT(matched, 3000u);
 }
 
-TEST(XdsResources, ResendWhatIsSafeAndNeverWhatMayHaveRun) {
+TEST(XdsResources, RetryPolicyCoversSafeRequestsAndFailedConnectionsOnly) {
   const auto services = File(
       "[[route]]\nid = \"v\"\nmethods = [\"GET\"]\npool = \"one\"\nclass = \"view\"\n"
       "[[route]]\nid = \"c\"\npool = \"one\"\nclass = \"change\"\n");
   const auto snapshot = xds::BuildSnapshot(*services, {}, {});
-  const auto routes = Read<route::RouteConfiguration>(*snapshot, Type::kRoute, "routes/in");
+  const auto routes = Read<route::RouteConfiguration>(*snapshot, ResourceType::kRoute, "routes/in");
   ASSERT_EQ(routes.virtual_hosts_size(), 1);
   ASSERT_EQ(routes.virtual_hosts(0).routes_size(), 2);
   const auto& view = routes.virtual_hosts(0).routes(0).route();
@@ -146,28 +147,31 @@
   EXPECT_EQ(view.retry_policy().num_retries().value(), 2u);
   EXPECT_EQ(view.timeout().nanos(), 800000000);
   EXPECT_EQ(routes.virtual_hosts(0).routes(1).route().retry_policy().retry_on(), "connect-failure");
-  const auto cluster = Read<envoy::config::cluster::v3::Cluster>(*snapshot, Type::kCluster, "one");
+  const auto cluster = Read<envoy::config::cluster::v3::Cluster>(*snapshot, ResourceType::kCluster, "one");
   EXPECT_EQ(cluster.circuit_breakers().thresholds(0).max_requests().value(), 7u);
   EXPECT_TRUE(cluster.eds_cluster_config().eds_config().has_ads());
 }
 
-TEST(XdsResources, HaveVersionsOfTheirContentAlone) {
+TEST(XdsResources, VersionsDependOnContentOnly) {
   const auto services = File("[[route]]\npool = \"one\"\nclass = \"view\"\n");
-  xds::Assignments one = {
-      {"one",
-       {{"a", "z", "10.0.0.1", 80, 100, Standing::kUp}, {"b", "z", "10.0.0.2", 80, 50, Standing::kUp}}}};
-  xds::Assignments same = one;
+  xds::EndpointAssignments one = {{"one",
+                                   {{"a", "z", "10.0.0.1", 80, 100, EndpointHealth::kHealthy},
+                                    {"b", "z", "10.0.0.2", 80, 50, EndpointHealth::kHealthy}}}};
+  xds::EndpointAssignments same = one;
   std::swap(same["one"][0], same["one"][1]);
-  xds::Assignments drained = one;
-  drained["one"][0].standing = Standing::kDraining;
+  xds::EndpointAssignments drained = one;
+  drained["one"][0].health = EndpointHealth::kDraining;
   const auto a = xds::BuildSnapshot(*services, one, {}), b = xds::BuildSnapshot(*services, same, {}),
              c = xds::BuildSnapshot(*services, drained, {});
-  for (const Type type : {Type::kCluster, Type::kEndpoint, Type::kListener, Type::kRoute}) {
+  for (const ResourceType type :
+       {ResourceType::kCluster, ResourceType::kEndpoint, ResourceType::kListener, ResourceType::kRoute}) {
     EXPECT_EQ(a->version(type), b->version(type));
-    EXPECT_EQ(a->version(type) == c->version(type), type != Type::kEndpoint);
+    EXPECT_EQ(a->version(type) == c->version(type), type != ResourceType::kEndpoint);
   }
-  EXPECT_EQ(a->of(Type::kEndpoint).Find("two")->version, c->of(Type::kEndpoint).Find("two")->version);
-  const auto endpoints = Read<envoy::config::endpoint::v3::ClusterLoadAssignment>(*c, Type::kEndpoint, "one");
+  EXPECT_EQ(a->table(ResourceType::kEndpoint).Find("two")->version,
+            c->table(ResourceType::kEndpoint).Find("two")->version);
+  const auto endpoints =
+      Read<envoy::config::endpoint::v3::ClusterLoadAssignment>(*c, ResourceType::kEndpoint, "one");
   ASSERT_EQ(endpoints.endpoints_size(), 1);
   EXPECT_EQ(endpoints.endpoints(0).lb_endpoints(0).health_status(), envoy::config::core::v3::DRAINING);
   EXPECT_EQ(endpoints.endpoints(0).lb_endpoints(1).load_balancing_weight().value(), 50u);
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -1,4 +1,4 @@
-// The control service over loopback sockets, with stand-in proxies of both forms.
+// Tests of the control server over loopback sockets, with stand-in proxies of both protocol variants.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,18 +6,18 @@
 #include "services_text.hpp"
 #include "standins/cutting_relay.hpp"
 #include "standins/xds_client.hpp"
+#include "xds/control_server.hpp"
 #include "xds/resources.hpp"
-#include "xds/server.hpp"
 
 namespace opalswitch::testing {
 namespace {
 
-using Reply = XdsClient::Reply;
-using xds::Hub;
-using xds::Standing;
-using xds::Type;
+using Reaction = XdsClient::Reaction;
+using xds::EndpointHealth;
+using xds::ResourceType;
+using xds::StreamHub;
 
-std::shared_ptr<const config::Services> Services() {
+std::shared_ptr<const config::Services> ParsedServices() {
   return Parsed(kListenerAndClasses + R"([[pool]]
 id = "one"
 host = [{ address = "127.0.0.1:9001" }]
@@ -27,152 +27,158 @@
 )" + kRoutesToOneAndTwo);
 }
 
-xds::Assignments Nodes(Standing first = Standing::kUp, std::uint32_t weight = 100) {
-  const std::vector<xds::Assigned> nodes = {{"a", "", "10.0.0.1", 80, weight, first},
-                                            {"b", "", "10.0.0.2", 80, 100, Standing::kUp}};
+xds::EndpointAssignments Assignments(EndpointHealth first = EndpointHealth::kHealthy,
+                                     std::uint32_t weight = 100) {
+  const std::vector<xds::EndpointAssignment> nodes = {
+      {"a", "", "10.0.0.1", 80, weight, first}, {"b", "", "10.0.0.2", 80, 100, EndpointHealth::kHealthy}};
   return {{"one", nodes}, {"two", nodes}};
 }
 
-struct World {
-  explicit World(xds::ServerOptions options = {}) {
-    options.hub.lease = 20000;  // of no matter here but where a test says so: busy machines are slow
-    options.hub.heartbeat = 50;
+struct Service {
+  explicit Service(xds::ControlServerOptions options = {}) {
+    options.hub.lease_duration = 20000;  // long, so that leases don't expire on a busy machine
+    options.hub.heartbeat_interval = 50;
     server.emplace(std::move(options));
-    server->With([](Hub& hub, Millis) {
-      hub.SetStrict({"one"});
-      return std::vector<Hub::Out>();
+    server->RunOnDecisionThread([](StreamHub& hub, Millis) {
+      hub.SetStrictPools({"one"});
+      return std::vector<StreamHub::OutgoingMessage>();
     });
-    Publish(Nodes(), true);
+    Publish(Assignments(), true);
   }
-  void Publish(const xds::Assignments& nodes, bool urgent) {
-    server->With([&](Hub& hub, Millis now) {
+  void Publish(const xds::EndpointAssignments& nodes, bool urgent) {
+    server->RunOnDecisionThread([&](StreamHub& hub, Millis now) {
       return hub.Publish("", xds::BuildSnapshot(*services, nodes, {}), urgent, now);
     });
   }
-  Hub::Figures Figures() {
-    Hub::Figures figures;
-    server->With([&](Hub& hub, Millis) {
-      figures = hub.figures();
-      return std::vector<Hub::Out>();
+  StreamHub::Statistics Statistics() {
+    StreamHub::Statistics statistics;
+    server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
+      statistics = hub.statistics();
+      return std::vector<StreamHub::OutgoingMessage>();
     });
-    return figures;
+    return statistics;
   }
-  // Waits for what the server comes to know.
-  bool Await(const std::function<bool(const Hub::Figures&)>& holds) {
+  // Waits up to 30 s until the condition holds for the server's statistics.
+  bool Await(const std::function<bool(const StreamHub::Statistics&)>& condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      if (holds(Figures())) return true;
+      if (condition(Statistics())) return true;
       std::this_thread::yield();
     }
     return false;
   }
 
-  std::shared_ptr<const config::Services> services = Services();
-  std::optional<xds::Server> server;
+  std::shared_ptr<const config::Services> services = ParsedServices();
+  std::optional<xds::ControlServer> server;
 };
 
 class XdsServer : public ::testing::TestWithParam<bool> {};
 
-TEST_P(XdsServer, TellsAProxyAllAndThenADrain) {
-  World world;
-  XdsClient client(world.server->port(), GetParam());
-  ASSERT_TRUE(MakeWhole(client));
-  EXPECT_TRUE(client.Routes("one", "10.0.0.1"));
-  EXPECT_TRUE(client.held(Type::kEndpoint).at("one").until);   // a lease
-  EXPECT_FALSE(client.held(Type::kEndpoint).at("two").until);  // none
-  ASSERT_TRUE(client.Await([&] { return client.heartbeats() >= 2; }));
-  const std::string before = client.Version(Type::kEndpoint, "one");
-  world.Publish(Nodes(Standing::kDraining), true);
-  ASSERT_TRUE(client.Await([&] { return client.Version(Type::kEndpoint, "one") != before; }));
-  ASSERT_TRUE(client.Await([&] { return client.Version(Type::kEndpoint, "two") != before; }));
-  EXPECT_FALSE(client.Routes("one", "10.0.0.1"));
-  EXPECT_TRUE(client.Routes("one", "10.0.0.2"));
+TEST_P(XdsServer, SendsAllResourcesAndThenADrain) {
+  Service service;
+  XdsClient client(service.server->port(), GetParam());
+  ASSERT_TRUE(ConnectAndReceiveAll(client));
+  EXPECT_TRUE(client.MayRouteTo("one", "10.0.0.1"));
+  EXPECT_TRUE(client.held(ResourceType::kEndpoint).at("one").lease_expiry);   // strict: a lease
+  EXPECT_FALSE(client.held(ResourceType::kEndpoint).at("two").lease_expiry);  // static: none
+  ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() >= 2; }));
+  const std::string before = client.Version(ResourceType::kEndpoint, "one");
+  service.Publish(Assignments(EndpointHealth::kDraining), true);
+  ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "one") != before; }));
+  ASSERT_TRUE(client.Await([&] { return client.Version(ResourceType::kEndpoint, "two") != before; }));
+  EXPECT_FALSE(client.MayRouteTo("one", "10.0.0.1"));
+  EXPECT_TRUE(client.MayRouteTo("one", "10.0.0.2"));
 }
 
-// At every message boundary of the first update, and inside it: the stream breaks, and the next one makes up
-// for it.
-TEST_P(XdsServer, AProxyThatDisconnectsInTheMiddleOfAnUpdateIsMadeWholeAgain) {
-  World world;
+// Guards against lost updates: the stream breaks at each message boundary of the first update, and the next
+// stream must deliver what is missing.
+TEST_P(XdsServer, ProxyThatDisconnectsBetweenMessagesGetsAllAfterReconnecting) {
+  Service service;
   for (int boundary = 0; boundary < 6; ++boundary) {
-    XdsClient client(world.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
+    XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(boundary));
     int seen = 0;
-    client.reply = [&](Type, auto&) { return ++seen > boundary ? Reply::kNothing : Reply::kAck; };
+    client.react = [&](ResourceType, auto&) {
+      return ++seen > boundary ? Reaction::kNoAnswer : Reaction::kAck;
+    };
     SubscribeToAll(client);
     client.Await([&] { return seen >= std::min(boundary, 4); });
-    client.Drop();
-    client.reply = [](Type, auto&) { return Reply::kAck; };
-    world.Publish(Nodes(boundary % 2 == 0 ? Standing::kDraining : Standing::kUp), true);
+    client.Disconnect();
+    client.react = [](ResourceType, auto&) { return Reaction::kAck; };
+    service.Publish(Assignments(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy),
+                    true);
     SubscribeToAll(client);
-    ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << boundary;
-    ASSERT_TRUE(client.Await([&] { return client.heartbeats() > 0; })) << boundary;
-    EXPECT_EQ(client.Routes("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
+    ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << boundary;
+    ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0; })) << boundary;
+    EXPECT_EQ(client.MayRouteTo("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 0; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
-// The connection breaks inside a message, wherever: half of it is nothing, and the next stream makes up for
-// it.
-TEST_P(XdsServer, AProxyThatDisconnectsInsideAMessageIsMadeWholeAgain) {
-  World world;
+// Guards against lost updates: the connection breaks inside a message, and the next stream must deliver
+// everything.
+TEST_P(XdsServer, ProxyThatDisconnectsInsideAMessageGetsAllAfterReconnecting) {
+  Service service;
   for (const std::size_t cut : {100, 300, 500, 700, 900, 1100, 1300, 1500}) {
-    XdsClient client(world.server->port(), GetParam(), "proxy-" + std::to_string(cut));
+    XdsClient client(service.server->port(), GetParam(), "proxy-" + std::to_string(cut));
     {
-      CuttingRelay relay(world.server->port(), cut);
+      CuttingRelay relay(service.server->port(), cut);
       XdsClient cut_off(relay.port(), GetParam(), "proxy-" + std::to_string(cut));
       SubscribeToAll(cut_off);
-      // It is cut off, or has got all within so few bytes.
-      ASSERT_TRUE(cut_off.Await([&] { return cut_off.ended() || IsWhole(cut_off); })) << cut;
+      // Either the connection was cut, or everything arrived before the cut.
+      ASSERT_TRUE(cut_off.Await([&] { return cut_off.has_ended() || HasAllResources(cut_off); })) << cut;
     }
     SubscribeToAll(client);
-    ASSERT_TRUE(client.Await([&] { return IsWhole(client); })) << cut;
-    EXPECT_TRUE(client.RoutesAsHeld("one", "10.0.0.1")) << cut;
+    ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << cut;
+    EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1")) << cut;
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 0; }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 0; }));
 }
 
-TEST_P(XdsServer, ANackKeepsTheOthersGoingAndIsCounted) {
-  World world;
-  XdsClient client(world.server->port(), GetParam());
-  client.reply = [](Type type, const auto& names) {
-    const bool bad = type == Type::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
-    return bad ? Reply::kNack : Reply::kAck;
+TEST_P(XdsServer, NackDoesNotHoldBackOtherResourcesAndIsCounted) {
+  Service service;
+  XdsClient client(service.server->port(), GetParam());
+  client.react = [](ResourceType type, const auto& names) {
+    const bool bad =
+        type == ResourceType::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
+    return bad ? Reaction::kNack : Reaction::kAck;
   };
   SubscribeToAll(client);
-  ASSERT_TRUE(client.Await([&] { return client.held(Type::kCluster).contains("two"); }));
-  EXPECT_FALSE(client.held(Type::kCluster).contains("one"));
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.nacks >= 2; }));
+  ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
+  EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
   std::optional<xds::Rejection> rejection;
-  world.server->With([&](Hub& hub, Millis) {
-    rejection = hub.proxies().at(0).rejection;
-    return std::vector<Hub::Out>();
+  service.server->RunOnDecisionThread([&](StreamHub& hub, Millis) {
+    rejection = hub.ProxyStatuses().at(0).last_rejection;
+    return std::vector<StreamHub::OutgoingMessage>();
   });
   ASSERT_TRUE(rejection);
   EXPECT_EQ(rejection->reason, "the stand-in does not like it");
 }
 
-TEST_P(XdsServer, AProxyThatAcknowledgesNothingIsDropped) {
-  xds::ServerOptions options;
-  options.hub.unacknowledged = 100;
-  World world(options);
-  XdsClient silent(world.server->port(), GetParam(), "silent"),
-      good(world.server->port(), GetParam(), "good");
-  silent.reply = [](Type, auto&) { return Reply::kNothing; };
+TEST_P(XdsServer, ProxyThatDoesNotAcknowledgeIsDisconnected) {
+  xds::ControlServerOptions options;
+  options.hub.ack_timeout = 100;
+  Service service(options);
+  XdsClient silent(service.server->port(), GetParam(), "silent"),
+      good(service.server->port(), GetParam(), "good");
+  silent.react = [](ResourceType, auto&) { return Reaction::kNoAnswer; };
   SubscribeToAll(good);
   SubscribeToAll(silent);
-  ASSERT_TRUE(silent.Await([&] { return silent.ended(); }));
+  ASSERT_TRUE(silent.Await([&] { return silent.has_ended(); }));
   EXPECT_EQ(silent.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
   EXPECT_EQ(silent.status().error_message(), "acknowledges nothing");
-  EXPECT_FALSE(good.ended());
+  EXPECT_FALSE(good.has_ended());
 }
 
-TEST_P(XdsServer, TwoInstancesTellTheSame) {
-  World one, two;
+TEST_P(XdsServer, TwoInstancesSendTheSameVersions) {
+  Service one, two;
   XdsClient client(one.server->port(), GetParam()), other(two.server->port(), GetParam());
   SubscribeToAll(client);
   SubscribeToAll(other);
-  ASSERT_TRUE(client.Await([&] { return IsWhole(client); }));
-  ASSERT_TRUE(other.Await([&] { return IsWhole(other); }));
-  for (const Type type : {Type::kCluster, Type::kEndpoint, Type::kListener, Type::kRoute}) {
+  ASSERT_TRUE(client.Await([&] { return HasAllResources(client); }));
+  ASSERT_TRUE(other.Await([&] { return HasAllResources(other); }));
+  for (const ResourceType type :
+       {ResourceType::kCluster, ResourceType::kEndpoint, ResourceType::kListener, ResourceType::kRoute}) {
     for (const auto& [name, held] : client.held(type))
       EXPECT_EQ(held.version, other.Version(type, name)) << name;
   }
@@ -183,52 +189,54 @@
                            return info.param ? "Delta" : "StateOfTheWorld";
                          });
 
-TEST(XdsServerLimits, RefusesMoreProxiesThanItsBound) {
-  xds::ServerOptions options;
-  options.hub.proxies = 1;
-  World world(options);
-  XdsClient first(world.server->port(), true), second(world.server->port(), true);
-  ASSERT_TRUE(MakeWhole(first));
+TEST(XdsServerLimits, RefusesMoreStreamsThanItsLimit) {
+  xds::ControlServerOptions options;
+  options.hub.max_streams = 1;
+  Service service(options);
+  XdsClient first(service.server->port(), true), second(service.server->port(), true);
+  ASSERT_TRUE(ConnectAndReceiveAll(first));
   second.Connect();
-  ASSERT_TRUE(second.Await([&] { return second.ended(); }));
+  ASSERT_TRUE(second.Await([&] { return second.has_ended(); }));
   EXPECT_EQ(second.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
-// A proxy that reads nothing is dropped, not buffered, and the others are told as ever.
-TEST(XdsServerLimits, DropsAProxyThatNeverReads) {
-  xds::ServerOptions options;
-  options.queued_bytes = 256 * 1024;
-  World world(options);
-  XdsClient good(world.server->port(), true, "good");
-  ASSERT_TRUE(MakeWhole(good));
-  const auto channel = grpc::CreateChannel("127.0.0.1:" + std::to_string(world.server->port()),
+// Guards against unbounded buffering: a proxy that never reads is disconnected, and the others are served as
+// before.
+TEST(XdsServerLimits, DisconnectsAProxyThatNeverReads) {
+  xds::ControlServerOptions options;
+  options.max_queued_bytes = 256 * 1024;
+  Service service(options);
+  XdsClient good(service.server->port(), true, "good");
+  ASSERT_TRUE(ConnectAndReceiveAll(good));
+  const auto channel = grpc::CreateChannel("127.0.0.1:" + std::to_string(service.server->port()),
                                            grpc::InsecureChannelCredentials());
   grpc::ClientContext context;
   const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
   const auto never_read = stub->DeltaAggregatedResources(&context);
   discovery::DeltaDiscoveryRequest request;
-  request.set_type_url(std::string(xds::TypeUrl(Type::kEndpoint)));
+  request.set_type_url(std::string(xds::TypeUrl(ResourceType::kEndpoint)));
   request.add_resource_names_subscribe("one");
   never_read->Write(request);
-  ASSERT_TRUE(world.Await([](const auto& figures) { return figures.streams == 2; }));
-  std::vector<xds::Assigned> many;
+  ASSERT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 2; }));
+  std::vector<xds::EndpointAssignment> many;
   for (int i = 0; i < 4000; ++i)
-    many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, Standing::kUp});
+    many.push_back({"node-" + std::to_string(i), "", "10.0.0.1", 80, 100, EndpointHealth::kHealthy});
   for (std::uint32_t weight = 1; weight < 7; ++weight) {
     many[0].weight = weight;
-    world.Publish({{"one", many}, {"two", {}}}, true);
+    service.Publish({{"one", many}, {"two", {}}}, true);
   }
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 1; }));
-  world.Publish(Nodes(Standing::kDraining), true);
-  EXPECT_TRUE(good.Await(
-      [&] { return !good.RoutesAsHeld("one", "10.0.0.1") && good.RoutesAsHeld("one", "10.0.0.2"); }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 1; }));
+  service.Publish(Assignments(EndpointHealth::kDraining), true);
+  EXPECT_TRUE(good.Await([&] {
+    return !good.HoldsHealthyEndpoint("one", "10.0.0.1") && good.HoldsHealthyEndpoint("one", "10.0.0.2");
+  }));
   context.TryCancel();
 }
 
-TEST(XdsServerLimits, TwoHundredProxiesThatReconnectAtOnceAreAllToldOfADrain) {
-  World world;
+TEST(XdsServerLimits, DrainReachesTwoHundredProxiesThatReconnectAtOnce) {
+  Service service;
   std::vector<std::unique_ptr<XdsClient>> proxies;
-  const auto each = [&](auto work) {  // of the proxies, by eight threads
+  const auto each = [&](auto work) {  // runs `work` on all proxies in eight threads
     std::vector<std::thread> threads;
     for (std::size_t t = 0; t < 8; ++t) {
       threads.emplace_back([&, t] {
@@ -239,31 +247,33 @@
   };
   for (int i = 0; i < 200; ++i)
     proxies.push_back(
-        std::make_unique<XdsClient>(world.server->port(), i % 2 == 0, "proxy-" + std::to_string(i)));
+        std::make_unique<XdsClient>(service.server->port(), i % 2 == 0, "proxy-" + std::to_string(i)));
   const auto connect = [](XdsClient& proxy) {
     proxy.Connect();
-    proxy.Subscribe(Type::kEndpoint, {"one", "two"});
+    proxy.Subscribe(ResourceType::kEndpoint, {"one", "two"});
   };
   each(connect);
   for (const auto& proxy : proxies)
-    ASSERT_TRUE(proxy->Await([&] { return proxy->RoutesAsHeld("one", "10.0.0.1") || proxy->ended(); }))
-        << proxy->answers(Type::kEndpoint);
-  for (const auto& proxy : proxies) EXPECT_FALSE(proxy->ended()) << proxy->status().error_message();
-  std::thread drain([&] { world.Publish(Nodes(Standing::kDraining), true); });  // in the middle of it
+    ASSERT_TRUE(proxy->Await([&] {
+      return proxy->HoldsHealthyEndpoint("one", "10.0.0.1") || proxy->has_ended();
+    })) << proxy->response_count(ResourceType::kEndpoint);
+  for (const auto& proxy : proxies) EXPECT_FALSE(proxy->has_ended()) << proxy->status().error_message();
+  std::thread drain(
+      [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // while they reconnect
   each([&](XdsClient& proxy) {
-    proxy.Drop();
+    proxy.Disconnect();
     connect(proxy);
   });
   drain.join();
   for (const auto& proxy : proxies)
-    EXPECT_TRUE(proxy->Await([&] { return !proxy->RoutesAsHeld("one", "10.0.0.1"); }));
-  EXPECT_TRUE(world.Await([](const auto& figures) { return figures.streams == 200; }));
+    EXPECT_TRUE(proxy->Await([&] { return !proxy->HoldsHealthyEndpoint("one", "10.0.0.1"); }));
+  EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.streams == 200; }));
 }
 
-TEST(XdsServerLimits, SpeaksPlaintextOnLoopbackAlone) {
-  xds::ServerOptions options;
+TEST(XdsServerLimits, RefusesPlaintextOutsideLoopback) {
+  xds::ControlServerOptions options;
   options.address = "0.0.0.0:0";
-  EXPECT_THROW(xds::Server{options}, std::runtime_error);
+  EXPECT_THROW(xds::ControlServer{options}, std::runtime_error);
 }
 
 }  // namespace
--- a/tests/xds_tls_test.cpp
+++ b/tests/xds_tls_test.cpp
@@ -1,4 +1,4 @@
-// TLS of the control service: who may connect, and certificates that change while it runs.
+// Tests of the control service's TLS: which proxies may connect, and certificates that change while it runs.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -7,7 +7,7 @@
 
 #include "envoy/service/discovery/v3/ads.grpc.pb.h"
 #include "standins/certificates.hpp"
-#include "xds/server.hpp"
+#include "xds/control_server.hpp"
 #include "xds/tls.hpp"
 
 namespace opalswitch::testing {
@@ -15,13 +15,13 @@
 
 namespace discovery = envoy::service::discovery::v3;
 
-struct World {
-  World() {
+struct TlsService {
+  TlsService() {
     Save("server.pem", server.Pem());
     Save("server.key", server.KeyPem());
     Save("proxies.pem", authority.Pem());
   }
-  ~World() {
+  ~TlsService() {
     for (const char* const name : {"server.pem", "server.key", "proxies.pem"})
       std::remove(Path(name).c_str());
   }
@@ -34,17 +34,18 @@
   }
   void Start(std::vector<std::string> names) {
     config::ControlTls tls{Path("server.pem"), Path("server.key"), Path("proxies.pem"), {}};
-    xds::ServerOptions options;
+    xds::ControlServerOptions options;
     options.credentials = xds::MakeCredentials(tls);
     options.client_names = std::move(names);
     control.emplace(std::move(options));
-    control->With([](xds::Hub& hub, Millis now) {
-      return hub.Publish("", std::make_shared<xds::Snapshot>(std::array<xds::Resources, xds::kTypes>()), true,
-                         now);
+    control->RunOnDecisionThread([](xds::StreamHub& hub, Millis now) {
+      return hub.Publish(
+          "", std::make_shared<xds::Snapshot>(std::array<xds::ResourceMap, xds::kResourceTypeCount>()), true,
+          now);
     });
   }
-  // How a proxy's stream fares that trusts `trusted`: OK if it is answered.
-  grpc::StatusCode Ask(const Certificate& trusted, const Certificate* own) {
+  // Opens a stream as a proxy that trusts `trusted` and returns its status: OK if it gets a response.
+  grpc::StatusCode RequestStatus(const Certificate& trusted, const Certificate* own) {
     grpc::SslCredentialsOptions ssl;
     ssl.pem_root_certs = trusted.Pem();
     if (own != nullptr) {
@@ -61,7 +62,7 @@
     const auto stub = discovery::AggregatedDiscoveryService::NewStub(channel);
     const auto stream = stub->StreamAggregatedResources(&context);
     discovery::DiscoveryRequest request;
-    request.set_type_url(std::string(xds::TypeUrl(xds::Type::kCluster)));
+    request.set_type_url(std::string(xds::TypeUrl(xds::ResourceType::kCluster)));
     stream->Write(request);
     discovery::DiscoveryResponse response;
     if (stream->Read(&response)) return grpc::StatusCode::OK;
@@ -70,41 +71,41 @@
 
   Certificate authority = MakeCertificate("authority");
   Certificate server = MakeCertificate("control.example.org", &authority);
-  std::optional<xds::Server> control;
+  std::optional<xds::ControlServer> control;
 };
 
-TEST(XdsTls, LetsInWhoHoldsACertificateWithAnAllowedName) {
-  World world;
-  world.Start({"edge.example.org"});
-  const auto edge = MakeCertificate("edge.example.org", &world.authority),
-             other = MakeCertificate("other.example.org", &world.authority),
+TEST(XdsTls, AcceptsOnlySignedCertificatesWithAnAllowedName) {
+  TlsService service;
+  service.Start({"edge.example.org"});
+  const auto edge = MakeCertificate("edge.example.org", &service.authority),
+             other = MakeCertificate("other.example.org", &service.authority),
              stranger = MakeCertificate("edge.example.org");
-  EXPECT_EQ(world.Ask(world.authority, &edge), grpc::StatusCode::OK);
-  EXPECT_EQ(world.Ask(world.authority, &other), grpc::StatusCode::PERMISSION_DENIED);
-  EXPECT_EQ(world.Ask(world.authority, nullptr), grpc::StatusCode::UNAVAILABLE);
-  EXPECT_EQ(world.Ask(world.authority, &stranger), grpc::StatusCode::UNAVAILABLE);
+  EXPECT_EQ(service.RequestStatus(service.authority, &edge), grpc::StatusCode::OK);
+  EXPECT_EQ(service.RequestStatus(service.authority, &other), grpc::StatusCode::PERMISSION_DENIED);
+  EXPECT_EQ(service.RequestStatus(service.authority, nullptr), grpc::StatusCode::UNAVAILABLE);
+  EXPECT_EQ(service.RequestStatus(service.authority, &stranger), grpc::StatusCode::UNAVAILABLE);
 }
 
-TEST(XdsTls, TakesANewCertificateWithoutARestart) {
-  World world;
-  world.Start({});
-  const auto edge = MakeCertificate("edge", &world.authority);
+TEST(XdsTls, ReloadsAChangedCertificateWithoutARestart) {
+  TlsService service;
+  service.Start({});
+  const auto edge = MakeCertificate("edge", &service.authority);
   const auto next_authority = MakeCertificate("next authority");
-  ASSERT_EQ(world.Ask(world.authority, &edge), grpc::StatusCode::OK);
-  EXPECT_EQ(world.Ask(next_authority, &edge), grpc::StatusCode::UNAVAILABLE);
+  ASSERT_EQ(service.RequestStatus(service.authority, &edge), grpc::StatusCode::OK);
+  EXPECT_EQ(service.RequestStatus(next_authority, &edge), grpc::StatusCode::UNAVAILABLE);
   const auto next = MakeCertificate("control.example.org", &next_authority);
-  World::Save("server.key", next.KeyPem());
-  World::Save("server.pem", next.Pem());
+  TlsService::Save("server.key", next.KeyPem());
+  TlsService::Save("server.pem", next.Pem());
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   grpc::StatusCode code = grpc::StatusCode::UNKNOWN;
   while (code != grpc::StatusCode::OK && std::chrono::steady_clock::now() < end)
-    code = world.Ask(next_authority, &edge);
+    code = service.RequestStatus(next_authority, &edge);
   EXPECT_EQ(code, grpc::StatusCode::OK);
 }
 
-TEST(XdsTls, NamesTheFileThatCannotBeUsed) {
-  World world;
-  config::ControlTls tls{World::Path("server.pem"), World::Path("none.key"), "", {}};
+TEST(XdsTls, ErrorNamesTheFileThatCannotBeRead) {
+  TlsService service;
+  config::ControlTls tls{TlsService::Path("server.pem"), TlsService::Path("none.key"), "", {}};
   try {
     xds::MakeCredentials(tls);
     ADD_FAILURE();
