--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -12,11 +12,13 @@
 constexpr std::size_t kMaxDepartedNodes = 1000;        // per pool: nodes that left it while draining
 
 // Whether an endpoint differs enough from its published version to be published again.
-bool Differs(const EndpointAssignment& was, const EndpointAssignment& is, double threshold) {
-  if (was.health != is.health || was.zone != is.zone || was.address != is.address || was.port != is.port)
+bool DiffersFromPublished(const EndpointAssignment& published, const EndpointAssignment& current,
+                          double threshold) {
+  if (published.health != current.health || published.zone != current.zone ||
+      published.address != current.address || published.port != current.port)
     return true;
-  const double before = was.weight, after = is.weight;
-  return was.weight != is.weight && std::abs(after - before) >= threshold * before;
+  const double before = published.weight, after = current.weight;
+  return published.weight != current.weight && std::abs(after - before) >= threshold * before;
 }
 
 void Append(ControlPlane::OutgoingMessages& to, ControlPlane::OutgoingMessages more) {
@@ -221,21 +223,22 @@
   });
 }
 
-void ControlPlane::SetPublishedEndpoint(Pool& pool, const std::string& host, const EndpointAssignment* to) {
+void ControlPlane::SetPublishedEndpoint(Pool& pool, const std::string& host,
+                                        const EndpointAssignment* endpoint) {
   const auto found = pool.published.find(host);
   if (found != pool.published.end()) {
     const auto zone = pool.zone_counts.find(found->second.zone);
     if (--zone->second == 0) pool.zone_counts.erase(zone);
-    if (to == nullptr) pool.published.erase(found);
+    if (endpoint == nullptr) pool.published.erase(found);
   }
-  if (to == nullptr) return;
-  pool.published[host] = *to;
-  ++pool.zone_counts[to->zone];
+  if (endpoint == nullptr) return;
+  pool.published[host] = *endpoint;
+  ++pool.zone_counts[endpoint->zone];
 }
 
 ControlPlane::OutgoingMessages ControlPlane::PublishChanges(const std::string& id, Pool& pool, Millis now) {
   if (!pool.has_membership) return {};  // publishing an empty list would make proxies drop their endpoints
-  std::map<std::string, EndpointAssignment> was;
+  std::map<std::string, EndpointAssignment> previous;
   std::set<std::string> changed, present;
   bool urgent = !std::exchange(pool.is_published, true);  // a pool's first endpoints
   for (const EndpointAssignment& endpoint : pool.decider.Endpoints()) {
@@ -243,10 +246,10 @@
     const auto found = pool.published.find(endpoint.id);
     if (found != pool.published.end()) {
       const EndpointAssignment& before = found->second;
-      if (!Differs(before, endpoint, services_->control.threshold)) continue;
+      if (!DiffersFromPublished(before, endpoint, services_->control.threshold)) continue;
       urgent = urgent || before.address != endpoint.address || before.port != endpoint.port ||
                (before.health != EndpointHealth::kDraining && endpoint.health == EndpointHealth::kDraining);
-      was[endpoint.id] = before;
+      previous[endpoint.id] = before;
     }
     changed.insert(endpoint.id);
     SetPublishedEndpoint(pool, endpoint.id, &endpoint);
@@ -256,18 +259,18 @@
     if (!present.contains(host)) removed.push_back(host);
   }
   for (const std::string& host : removed) {
-    was[host] = pool.published.at(host);
+    previous[host] = pool.published.at(host);
     changed.insert(host);
     SetPublishedEndpoint(pool, host, nullptr);
   }
   urgent = urgent || !removed.empty();
   if (changed.empty() && !urgent) return {};
-  return PublishEndpoints(id, pool, was, changed, urgent, now);
+  return PublishEndpoints(id, pool, previous, changed, urgent, now);
 }
 
 ControlPlane::OutgoingMessages ControlPlane::PublishUnusable(const std::string& id, Pool& pool,
                                                              const std::set<std::string>& hosts, Millis now) {
-  std::map<std::string, EndpointAssignment> was;
+  std::map<std::string, EndpointAssignment> previous;
   std::set<std::string> changed;
   for (const std::string& host : hosts) {
     const auto found = pool.published.find(host);
@@ -275,7 +278,7 @@
     if (found == pool.published.end() || state == ServerState::kUp) continue;
     EndpointAssignment next = found->second;
     if (state && next.health == EndpointHealth::kDraining) continue;
-    was[host] = found->second;
+    previous[host] = found->second;
     changed.insert(host);
     next.health = EndpointHealth::kDraining;
     next.weight = 1;
@@ -284,47 +287,47 @@
   // Other changes are published by the next comparison, soon.
   pool.next_comparison = std::min(pool.next_comparison, now + kMinComparisonIntervalMs);
   if (changed.empty()) return {};
-  return PublishEndpoints(id, pool, was, changed, /*urgent=*/true, now);
+  return PublishEndpoints(id, pool, previous, changed, /*urgent=*/true, now);
 }
 
 ControlPlane::OutgoingMessages ControlPlane::PublishEndpoints(
-    const std::string& id, Pool& pool, const std::map<std::string, EndpointAssignment>& was,
+    const std::string& id, Pool& pool, const std::map<std::string, EndpointAssignment>& previous,
     const std::set<std::string>& changed, bool urgent, Millis now) {
   std::array<Snapshot::Changes, kEndpointFormatCount> changes;
   for (std::size_t format = 0; format < kEndpointFormatCount; ++format) {
     if (endpoint_resources_[format].empty()) continue;
     const ResourceOptions options = OptionsFor(static_cast<EndpointFormat>(format));
     EndpointResources& resources = endpoint_resources_[format][id];
-    const ResourcePtr list = resources.load_assignment;
-    auto& members = changes[format][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
+    const ResourcePtr previous_assignment = resources.load_assignment;
+    auto& lb_endpoint_changes = changes[format][static_cast<std::size_t>(ResourceType::kLbEndpoint)];
     if (format == kLeds) {
-      if (list->is_placeholder) {  // remove the placeholders
-        for (const auto& [name, placeholder] : resources.lb_endpoints) members[name] = nullptr;
+      if (previous_assignment->is_placeholder) {  // remove the placeholders
+        for (const auto& [name, placeholder] : resources.lb_endpoints) lb_endpoint_changes[name] = nullptr;
         resources.lb_endpoints.clear();
       }
       std::set<std::string> zones;
       for (const auto& [zone, count] : pool.zone_counts) zones.insert(zone);
-      resources.load_assignment = BuildLedsAssignment(id, zones, options, list);
+      resources.load_assignment = BuildLedsAssignment(id, zones, options, previous_assignment);
       for (const std::string& host : changed) {
-        const auto before = was.find(host);
+        const auto before = previous.find(host);
         const auto after = pool.published.find(host);
-        const std::string old_name = before == was.end() ? "" : LbEndpointName(id, before->second);
+        const std::string old_name = before == previous.end() ? "" : LbEndpointName(id, before->second);
         const std::string name = after == pool.published.end() ? "" : LbEndpointName(id, after->second);
         if (!old_name.empty() && old_name != name) {
-          members[old_name] = nullptr;
+          lb_endpoint_changes[old_name] = nullptr;
           resources.lb_endpoints.erase(old_name);
         }
         if (name.empty()) continue;
-        ResourcePtr& member = resources.lb_endpoints[name];
-        const ResourcePtr made = BuildLbEndpoint(id, after->second, member);
-        if (made != member) members[name] = member = made;
+        ResourcePtr& lb_endpoint = resources.lb_endpoints[name];
+        const ResourcePtr rebuilt = BuildLbEndpoint(id, after->second, lb_endpoint);
+        if (rebuilt != lb_endpoint) lb_endpoint_changes[name] = lb_endpoint = rebuilt;
       }
     } else {
       std::vector<EndpointAssignment> endpoints;
       for (const auto& [host, endpoint] : pool.published) endpoints.push_back(endpoint);
       resources = BuildEndpointResources(id, endpoints, options, resources);
     }
-    if (resources.load_assignment != list)
+    if (resources.load_assignment != previous_assignment)
       changes[format][static_cast<std::size_t>(ResourceType::kEndpoint)][id] = resources.load_assignment;
   }
   OutgoingMessages out;
@@ -342,7 +345,7 @@
   auto& requirements = drain_requirements_[id];
   for (const std::string& host : hosts) {
     const auto found = pool.published.find(host);
-    if (found == pool.published.end()) continue;  // gone: the requirements of its drain, if any, still apply
+    if (found == pool.published.end()) continue;  // removed: the requirements recorded for its drain stay
     const EndpointAssignment& endpoint = found->second;
     if (endpoint.health != EndpointHealth::kDraining) {
       requirements.erase(host);
@@ -359,9 +362,9 @@
       }
       // The ClusterLoadAssignment refers to the LbEndpoints and does not change with them.
       const std::string name = LbEndpointName(id, endpoint);
-      const auto member = resources.lb_endpoints.find(name);
-      if (member != resources.lb_endpoints.end())
-        required.push_back({group.id, ResourceType::kLbEndpoint, name, member->second->serial});
+      const auto lb_endpoint = resources.lb_endpoints.find(name);
+      if (lb_endpoint != resources.lb_endpoints.end())
+        required.push_back({group.id, ResourceType::kLbEndpoint, name, lb_endpoint->second->serial});
     }
   }
   if (requirements.size() <= pool.published.size() + kMaxDepartedNodes) return;
--- a/src/xds/control_plane.hpp
+++ b/src/xds/control_plane.hpp
@@ -96,10 +96,10 @@
   // Whether a published host has changed its address.
   static bool HasMovedHost(const Pool& pool, const gateway::HostList& list);
   // Replaces a published endpoint; a null one removes it.
-  static void SetPublishedEndpoint(Pool& pool, const std::string& host, const EndpointAssignment* to);
-  // Publishes the endpoints with the ids in `changed`; `was` has their previous versions.
+  static void SetPublishedEndpoint(Pool& pool, const std::string& host, const EndpointAssignment* endpoint);
+  // Publishes the endpoints with the ids in `changed`; `previous` has their previous versions.
   OutgoingMessages PublishEndpoints(const std::string& id, Pool& pool,
-                                    const std::map<std::string, EndpointAssignment>& was,
+                                    const std::map<std::string, EndpointAssignment>& previous,
                                     const std::set<std::string>& changed, bool urgent, Millis now);
   // Records, for those of these hosts that drain, which resources proxies must have accepted.
   void RecordDrainRequirements(const std::string& id, const Pool& pool, const std::set<std::string>& hosts);
--- a/src/xds/control_server.cpp
+++ b/src/xds/control_server.cpp
@@ -103,7 +103,7 @@
       owner_.loop_.Post([this](Millis now) {
         const auto request = ToRequest(request_);
         // Requests for types that this service does not serve are ignored.
-        if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToNode(request_.node()), *request, now));
+        if (request) owner_.Send(owner_.hub_.HandleRequest(id_, ToProxyNode(request_.node()), *request, now));
         ReadNext();
       });
     }
--- a/src/xds/pool_decider.cpp
+++ b/src/xds/pool_decider.cpp
@@ -62,8 +62,8 @@
     record.host = host;
     // If two hosts have the same address, reports are matched to the one that is up: the other is draining or
     // gone.
-    const auto [place, is_new] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
-    if (!is_new && host.server.state == ServerState::kUp) place->second = id;
+    const auto [by_address, is_new] = by_address_.try_emplace(gateway::FormatEndpoint(host.address), id);
+    if (!is_new && host.server.state == ServerState::kUp) by_address->second = id;
   }
   if (list.complete) {
     std::vector<std::string> removed;
@@ -82,8 +82,8 @@
 }
 
 void PoolDecider::RemoveAddress(const std::string& id, const HostRecord& record) {
-  const auto place = by_address_.find(gateway::FormatEndpoint(record.host.address));
-  if (place != by_address_.end() && place->second == id) by_address_.erase(place);
+  const auto by_address = by_address_.find(gateway::FormatEndpoint(record.host.address));
+  if (by_address != by_address_.end() && by_address->second == id) by_address_.erase(by_address);
 }
 
 void PoolDecider::RemoveHost(const std::string& id) {
@@ -112,7 +112,7 @@
       ++unmatched_reports_;
       continue;
     }
-    // A report whose interval began before the current process replaced another one is not of this one alone.
+    // Skip a report that also covers the previous process.
     if (now - report.interval < record->second.replaced_at && record->second.replaced_at > 0 &&
         record->second.host.server.started_at > 0) {
       continue;
--- a/src/xds/proto_conversion.cpp
+++ b/src/xds/proto_conversion.cpp
@@ -25,27 +25,28 @@
   any->set_value(resource.bytes);
 }
 
-bool IsLeased(const StreamHub::OutgoingMessage& out, const std::string& name) {
-  return std::find(out.leased_names.begin(), out.leased_names.end(), name) != out.leased_names.end();
+bool IsLeased(const StreamHub::OutgoingMessage& message, const std::string& name) {
+  return std::find(message.leased_names.begin(), message.leased_names.end(), name) !=
+         message.leased_names.end();
 }
 
 // Wraps a resource with its name, version and time to live. `resource` is null in a heartbeat, which renews a
 // lease without content.
-discovery::Resource WrapResource(const StreamHub::OutgoingMessage& out, const std::string& name,
+discovery::Resource WrapResource(const StreamHub::OutgoingMessage& message, const std::string& name,
                                  const Resource* resource, Millis lease) {
   discovery::Resource wrapped;
   wrapped.set_name(name);
   if (resource != nullptr) {
     wrapped.set_version(resource->version);
-    SetAny(wrapped.mutable_resource(), *resource, out.response.type);
+    SetAny(wrapped.mutable_resource(), *resource, message.response.type);
   }
-  if (IsLeased(out, name)) SetTtl(&wrapped, lease);
+  if (IsLeased(message, name)) SetTtl(&wrapped, lease);
   return wrapped;
 }
 
 }  // namespace
 
-ProxyNode ToNode(const envoy::config::core::v3::Node& node) {
+ProxyNode ToProxyNode(const envoy::config::core::v3::Node& node) {
   return {node.id(), node.cluster(), node.locality().zone()};
 }
 
@@ -75,35 +76,35 @@
   return request;
 }
 
-void FillResponse(discovery::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
+void FillResponse(discovery::DiscoveryResponse& to, const StreamHub::OutgoingMessage& message, Millis lease,
                   const std::string& identifier) {
-  to.set_version_info(out.response.version);
+  to.set_version_info(message.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
   const auto add = [&](const std::string& name, const Resource* resource) {
-    to.add_resources()->PackFrom(WrapResource(out, name, resource, lease));
+    to.add_resources()->PackFrom(WrapResource(message, name, resource, lease));
   };
-  for (const ResourcePtr& resource : out.response.resources) {
-    if (IsLeased(out, resource->name)) {
+  for (const ResourcePtr& resource : message.response.resources) {
+    if (IsLeased(message, resource->name)) {
       add(resource->name, resource.get());
     } else {
-      SetAny(to.add_resources(), *resource, out.response.type);
+      SetAny(to.add_resources(), *resource, message.response.type);
     }
   }
-  if (!out.is_heartbeat) return;
-  for (const std::string& name : out.leased_names) add(name, nullptr);
+  if (!message.is_heartbeat) return;
+  for (const std::string& name : message.leased_names) add(name, nullptr);
 }
 
-void FillResponse(discovery::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& out, Millis lease,
-                  const std::string& identifier) {
-  to.set_system_version_info(out.response.version);
+void FillResponse(discovery::DeltaDiscoveryResponse& to, const StreamHub::OutgoingMessage& message,
+                  Millis lease, const std::string& identifier) {
+  to.set_system_version_info(message.response.version);
   to.mutable_control_plane()->set_identifier(identifier);
-  for (const ResourcePtr& resource : out.response.resources) {
-    *to.add_resources() = WrapResource(out, resource->name, resource.get(), lease);
+  for (const ResourcePtr& resource : message.response.resources) {
+    *to.add_resources() = WrapResource(message, resource->name, resource.get(), lease);
   }
-  for (const std::string& name : out.response.removed) to.add_removed_resources(name);
-  if (!out.is_heartbeat) return;
-  for (const std::string& name : out.leased_names)
-    *to.add_resources() = WrapResource(out, name, nullptr, lease);
+  for (const std::string& name : message.response.removed) to.add_removed_resources(name);
+  if (!message.is_heartbeat) return;
+  for (const std::string& name : message.leased_names)
+    *to.add_resources() = WrapResource(message, name, nullptr, lease);
 }
 
 }  // namespace opalswitch::xds
--- a/src/xds/proto_conversion.hpp
+++ b/src/xds/proto_conversion.hpp
@@ -19,17 +19,17 @@
 
 namespace opalswitch::xds {
 
-ProxyNode ToNode(const envoy::config::core::v3::Node& node);
+ProxyNode ToProxyNode(const envoy::config::core::v3::Node& node);
 
 // Returns nullopt if this service does not serve the requested type.
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DiscoveryRequest& from);
 std::optional<XdsRequest> ToRequest(const envoy::service::discovery::v3::DeltaDiscoveryRequest& from);
 
 // Fills in all but the type URL and the nonce. `lease`: time to live, in ms, of the leased resources.
-void FillResponse(envoy::service::discovery::v3::DiscoveryResponse& to, const StreamHub::OutgoingMessage& out,
-                  Millis lease, const std::string& identifier);
+void FillResponse(envoy::service::discovery::v3::DiscoveryResponse& to,
+                  const StreamHub::OutgoingMessage& message, Millis lease, const std::string& identifier);
 void FillResponse(envoy::service::discovery::v3::DeltaDiscoveryResponse& to,
-                  const StreamHub::OutgoingMessage& out, Millis lease, const std::string& identifier);
+                  const StreamHub::OutgoingMessage& message, Millis lease, const std::string& identifier);
 
 }  // namespace opalswitch::xds
 
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -217,10 +217,6 @@
   AddResource(resources, from.id, listener);
 }
 
-}  // namespace
-
-namespace {
-
 // Returns `before` if it has the same version, or else `made`.
 ResourcePtr ReuseIfUnchanged(ResourcePtr made, const ResourcePtr& before) {
   return before && before->version == made->version ? before : made;
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -184,7 +184,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, XdsServer, ::testing::Bool(),
+INSTANTIATE_TEST_SUITE_P(Variants, XdsServer, ::testing::Bool(),
                          [](const ::testing::TestParamInfo<bool>& info) -> std::string {
                            return info.param ? "Delta" : "StateOfTheWorld";
                          });
