--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,4 +1,4 @@
-// The platform's gateway: one listener, one pool, and discovery as the platform gives it.
+// The gateway for the platform: one listener, one pool, and the platform's discovery service.
 #ifndef OPALSWITCH_GATEWAY_GATEWAY_HPP_
 #define OPALSWITCH_GATEWAY_GATEWAY_HPP_
 
@@ -18,25 +18,27 @@
 
 class Gateway {
  public:
-  // Listens and watches at once. Throws std::exception if the settings or the address can't work.
+  // Opens the listener and starts discovery. Throws std::exception if the settings are invalid or the address
+  // can't be bound.
   Gateway(boost::asio::io_context& io, const Config& config);
 
-  boost::asio::ip::tcp::endpoint address() const { return clients_.address(""); }
+  boost::asio::ip::tcp::endpoint address() const { return http_server_.address(""); }
 
-  // Takes over what a changed configuration may change while the gateway runs: where discovery is.
+  // Applies the part of a changed configuration that can change at run time: the address of discovery.
   void Reload(const Config& config);
 
-  // Takes, serves and answers as `times` say, then calls `done`.
+  // Shuts down gracefully as `times` say, then calls `done`.
   void Stop(std::function<void()> done, StopTimes times);
-  void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::Within(settings_)); }
+  void Stop(std::function<void()> done) { Stop(std::move(done), StopTimes::ForSettings(settings_)); }
 
  private:
-  void ListFailed();
+  // Passes a failed watch on to the pool, and retries it unless the module requests its watches itself.
+  void OnMembershipUpdateFailed();
 
   const Settings settings_;
   const std::shared_ptr<Pool> pool_;
   Discovery discovery_;
-  HttpServer clients_;
+  HttpServer http_server_;
   StopSequence stop_;
 };
 
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -1,5 +1,6 @@
-// The gateway for several services: the operators' file come to life. Listeners, routes and pools are swapped
-// whole at a reload; a request keeps the pool that it was routed to.
+// The gateway for several services, configured by the operators' file: listeners, routes, pools, and the
+// budgets that the pools share. A reload replaces the configuration as a whole; a request keeps the pool that
+// it was routed to.
 #ifndef OPALSWITCH_GATEWAY_SERVICE_GATEWAY_HPP_
 #define OPALSWITCH_GATEWAY_SERVICE_GATEWAY_HPP_
 
@@ -30,62 +31,76 @@
  public:
   using Services = std::shared_ptr<const config::Services>;
 
-  // Listens, and has the sources tell of hosts. Throws std::runtime_error that names what can't work.
+  // Opens the listeners and starts the host sources. Throws std::runtime_error with the reason if the
+  // configuration can't be applied.
   ServiceGateway(boost::asio::io_context& io, Services services, std::uint64_t seed);
   ~ServiceGateway();
 
-  // Takes over another file, whole or not at all. Pools whose definition is unchanged go on with all that
-  // they have learned; others start anew, and those that they replace finish what they have. Gives what stood
-  // in the way; nothing if the new file holds.
+  // Applies a new configuration atomically. Pools with an unchanged definition keep running with all that
+  // they have learned; others are created, and the pools that they replace drain. Returns the reason if the
+  // configuration can't be applied, in which case nothing changes; std::nullopt on success.
   std::optional<std::string> Reload(Services services);
 
   boost::asio::ip::tcp::endpoint address(const std::string& listener) const {
-    return clients_.address(listener);
+    return http_server_.address(listener);
   }
 
-  // As the platform's: see StopTimes.
+  // Shuts down gracefully as `times` say, then calls `done`.
   void Stop(std::function<void()> done, const StopTimes& times = StopTimes());
 
-  // What stands where, for tests and logs.
+  // Accessors for tests and logs.
   std::shared_ptr<const Pool> pool(const std::string& id) const;
-  std::size_t draining_pools() const { return retiring_.size(); }
+  std::size_t draining_pools() const { return draining_.size(); }
   const NodeRegistry& nodes() const { return nodes_; }
-  std::size_t connections() const { return clients_.connections(); }
+  std::size_t connections() const { return http_server_.connections(); }
 
  private:
-  struct Member;
-  struct Ticket;
-  // What one file came to. Never changed; replaced.
+  struct PoolEntry;
+  struct Admission;
+  // One applied configuration. Immutable; replaced as a whole.
   struct Snapshot {
     Services services;
-    std::vector<std::shared_ptr<Member>> members;  // as services->pools
+    std::vector<std::shared_ptr<PoolEntry>> pools;  // in the order of services->pools
   };
 
-  std::optional<LocalReply> Admit(const HttpRequest& head, const routing::Target& target,
-                                  const RequestOrigin& origin, ClientRequest& call);
-  std::optional<LocalReply> Describe(const HttpRequest& head, const config::RouteRule& rule,
-                                     const config::Pool& pool, ClientRequest& call);
-  std::optional<LocalReply> Enter(const std::shared_ptr<Member>& member, ClientRequest& call);
+  // Routes a request by its head, reads its class and limits into `request`, and admits it to the pool.
+  // Returns the reply if the request is rejected.
+  std::optional<LocalReply> HandleRequestHead(const HttpRequest& head, const routing::Target& target,
+                                              const RequestOrigin& origin, ClientRequest& request);
+  // Determines the class and reads the request headers named in the configuration.
+  std::optional<LocalReply> ClassifyRequest(const HttpRequest& head, const config::RouteRule& rule,
+                                            const config::Pool& pool, ClientRequest& request);
+  // Admits the request under the pool's limits, or returns the refusal.
+  std::optional<LocalReply> ApplyLimits(const std::shared_ptr<PoolEntry>& entry, ClientRequest& request);
 
-  // Throws std::exception if the pool can't work.
-  std::shared_ptr<Member> MakeMember(const config::Pool& pool);
-  void Begin(Member& member, const config::Pool& pool);
-  void Share(const Snapshot& snapshot);
-  void Told(Member& member, const HostList& list);
-  void Retire(const std::shared_ptr<Member>& member);
-  void Sweep();
+  // Throws std::exception if the pool's settings are invalid.
+  std::shared_ptr<PoolEntry> MakePool(const config::Pool& pool);
+  // Creates the pool's host source and starts it.
+  void StartHostSource(PoolEntry& entry, const config::Pool& pool);
+  // Sets each pool's guarantee and maximum in the shared budgets. The guarantees that the file states are
+  // granted; the rest of the default part is divided equally among the pools that state none, and what then
+  // remains is available to all.
+  void DistributeBudgets(const Snapshot& snapshot);
+  // Applies a pool's list, and passes drains that it reports on to the other pools that list the node.
+  void OnMembershipUpdate(PoolEntry& entry, const HostList& list);
+  // Starts draining a pool that the configuration no longer contains: it gets no new requests, finishes those
+  // it has, and follows its hosts until then.
+  void BeginDrain(const std::shared_ptr<PoolEntry>& entry);
+  // Removes draining pools that are idle. Deferred to the event loop, because the caller may be one of them.
+  void RemoveDrainedPools();
 
   boost::asio::io_context& io_;
   const std::uint64_t seed_;
-  std::uint64_t made_ = 0;  // pools and ids so far
-  std::uint64_t ids_ = 0;
-  limits::SharedBudget descriptors_, places_, bodies_;
+  std::uint64_t pools_created_ = 0;
+  std::uint64_t request_ids_created_ = 0;
+  limits::SharedBudget descriptors_, client_connections_, body_memory_;
   NodeRegistry nodes_;
   std::shared_ptr<const Snapshot> snapshot_;
-  std::list<std::shared_ptr<Member>> retiring_;
-  bool sweeping_ = false;
-  HttpServer clients_;
+  std::list<std::shared_ptr<PoolEntry>> draining_;
+  bool removal_scheduled_ = false;
+  HttpServer http_server_;
   StopSequence stop_;
+  // Expires with this object: callbacks hold a weak_ptr and do nothing once it has.
   const std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -49,13 +49,13 @@
   static int PortOf(const Process& process) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (std::chrono::steady_clock::now() < end) {
-      const std::string output = process.Errors(), marker = "serves xDS at 127.0.0.1:";
+      const std::string output = process.StandardError(), marker = "serves xDS at 127.0.0.1:";
       const std::size_t at = output.find(marker);
       if (at != std::string::npos && output.find('\n', at) != std::string::npos)
         return std::stoi(output.substr(at + marker.size()));
       std::this_thread::yield();
     }
-    ADD_FAILURE() << process.Errors();
+    ADD_FAILURE() << process.StandardError();
     return 0;
   }
   Process::Arguments Run() const { return {{"run", "--config", folder + "/f.toml"}}; }
@@ -71,29 +71,29 @@
   XdsClient client(port, true, "proxy-1");
   ASSERT_TRUE(ConnectAndReceiveAll(client));
   EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
-  const Said status = RunProgram("status --json " + folder.Socket());
-  ASSERT_EQ(status.code, 0) << status.text;
-  const auto json = nlohmann::json::parse(status.text);
+  const ProgramResult status = RunProgram("status --json " + folder.Socket());
+  ASSERT_EQ(status.exit_code, 0) << status.output;
+  const auto json = nlohmann::json::parse(status.output);
   EXPECT_EQ(json["pools"].size(), 2u);
   EXPECT_EQ(json["pools"][0]["strict"], true);
   EXPECT_EQ(json["proxies"][0]["id"], "proxy-1");
-  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 0);
-  const Said drain = RunProgram("drain a --wait " + folder.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
-  EXPECT_NE(drain.text.find("a is drained"), std::string::npos) << drain.text;
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).exit_code, 0);
+  const ProgramResult drain = RunProgram("drain a --wait " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
+  EXPECT_NE(drain.output.find("a is drained"), std::string::npos) << drain.output;
   EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
   EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
-  EXPECT_EQ(RunProgram("drain nobody " + folder.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).code, 1);
-  EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).code, 0);
+  EXPECT_EQ(RunProgram("drain nobody " + folder.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain nobody " + folder.Socket()).exit_code, 1);
+  EXPECT_EQ(RunProgram("undrain a " + folder.Socket()).exit_code, 0);
   ASSERT_TRUE(client.Await([&] { return client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   // A change of the membership file is applied.
   folder.Save("hosts.json", ServiceFolder::Hosts(R"({"id":"b","phase":"up","host_port":"10.0.0.2:80"})"));
   ASSERT_TRUE(client.Await([&] { return !client.HoldsHealthyEndpoint("one", "10.0.0.1"); }));
   process.Terminate();
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(RunProgram("status " + folder.Socket()).code, 1);  // the service has ended
-  EXPECT_EQ(RunProgram("status").code, 2);
+  EXPECT_EQ(RunProgram("status " + folder.Socket()).exit_code, 1);  // the service has ended
+  EXPECT_EQ(RunProgram("status").exit_code, 2);
 }
 
 TEST(ControlCommand, DrainWaitsForAnUnresponsiveProxyAndNamesIt) {
@@ -104,9 +104,9 @@
   client.Connect();
   client.Subscribe(ResourceType::kEndpoint, {"two"});  // a static pool: no lease ends the wait
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kEndpoint).size() == 1; }));
-  const Said drain = RunProgram("drain a --wait --timeout 4 " + folder.Socket());
-  EXPECT_EQ(drain.code, 4) << drain.text;
-  EXPECT_NE(drain.text.find("waits for mute, which has not answered"), std::string::npos) << drain.text;
+  const ProgramResult drain = RunProgram("drain a --wait --timeout 4 " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 4) << drain.output;
+  EXPECT_NE(drain.output.find("waits for mute, which has not answered"), std::string::npos) << drain.output;
 }
 
 // Guards the 500 ms limit of a drain across a crash: a proxy that neither process reaches must stop by its
@@ -123,15 +123,15 @@
   ASSERT_TRUE(unresponsive.Await([&] { return unresponsive.MayRouteTo("one", "10.0.0.1", true); }));
   // From here on it ignores all messages and uses its endpoints until their lease expires.
   unresponsive.IgnoreResponses();
-  ASSERT_EQ(RunProgram("drain a " + folder.Socket()).code, 0);
+  ASSERT_EQ(RunProgram("drain a " + folder.Socket()).exit_code, 0);
   process->Kill();
   process->Wait();
   ASSERT_TRUE(client.Await([&] { return client.has_ended(); }));
   client.Disconnect();
   process.emplace(folder.Run());
   ASSERT_EQ(ServiceFolder::PortOf(*process), port);
-  const Said drain = RunProgram("drain a --wait " + folder.Socket());
-  EXPECT_EQ(drain.code, 0) << drain.text;
+  const ProgramResult drain = RunProgram("drain a --wait " + folder.Socket());
+  EXPECT_EQ(drain.exit_code, 0) << drain.output;
   EXPECT_FALSE(
       unresponsive.MayRouteTo("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
   SubscribeToAll(client);
@@ -162,12 +162,13 @@
   folder.Save("drains.json", "{\"drained\": 7}");
   Process process(folder.Run());
   EXPECT_EQ(process.Wait(), 1);
-  EXPECT_NE(process.Errors().find("drains.json: drained: missing, expected"), std::string::npos)
-      << process.Errors();
+  EXPECT_NE(process.StandardError().find("drains.json: drained: missing, expected"), std::string::npos)
+      << process.StandardError();
   folder.Save("f.toml", ServiceFolder::Text(0) + "[[control.group]]\nid = \"g\"\npools = [\"none\"]\n");
   Process other(folder.Run());
   EXPECT_EQ(other.Wait(), 1);
-  EXPECT_NE(other.Errors().find("control.group.g.pools: found"), std::string::npos) << other.Errors();
+  EXPECT_NE(other.StandardError().find("control.group.g.pools: found"), std::string::npos)
+      << other.StandardError();
 }
 
 }  // namespace
