--- a/tools/packages.sh
+++ b/tools/packages.sh
@@ -5,7 +5,7 @@
 packages="g++ make cmake libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev"
 if [ "${1:-build}" = tests ]; then
   packages="$packages libgtest-dev clang-format libgrpc++-dev protobuf-compiler-grpc libprotobuf-dev protobuf-compiler"
-  packages="$packages libssl-dev pkg-config"
+  packages="$packages libssl-dev pkg-config clang-tidy"
 fi
 # shellcheck disable=SC2086
 if dpkg -s $packages >/dev/null 2>&1; then exit 0; fi
