--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -20,12 +20,12 @@
 namespace {
 
 // A gateway with a scripted discovery service and scripted hosts.
-struct World {
+struct GatewayHarness {
   // Starts the gateway with hosts h0, h1, ... in its configuration.
-  explicit World(std::size_t hosts_wanted = 1, nlohmann::json settings = TestSettings(),
-                 std::size_t sockets = 300) {
+  explicit GatewayHarness(std::size_t host_count = 1, nlohmann::json settings = TestSettings(),
+                          std::size_t sockets = 300) {
     std::vector<nlohmann::json> members;
-    for (std::size_t i = 0; i < hosts_wanted; ++i) {
+    for (std::size_t i = 0; i < host_count; ++i) {
       hosts.push_back(std::make_unique<Peer>(io));
       members.push_back(Member("h" + std::to_string(i), hosts.back()->address()));
     }
@@ -69,11 +69,11 @@
 
 // Guards against changes to the headers, body or target that hosts and clients rely on.
 TEST(Gateway, ForwardsRequestAndResponse) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  const HttpRequest& got = world.host().requests[0].http;
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  const HttpRequest& got = harness.host().requests[0].http;
   EXPECT_EQ(got.method(), http::verb::post);
   EXPECT_EQ(got.target(), "/api");
   EXPECT_EQ(got["Req-Id"], "r1");
@@ -84,7 +84,7 @@
   EXPECT_EQ(left.back(), 'm');
   EXPECT_GT(std::stoi(left), 0);
   EXPECT_LT(std::stoi(left), 5000);  // the remaining time, not the original one
-  world.host().requests[0].Answer(200, "answer to r1");
+  harness.host().requests[0].Answer(200, "answer to r1");
   EXPECT_EQ(client->Await().result(), http::status::ok);
   EXPECT_EQ(client->Await().body(), "answer to r1");
   EXPECT_TRUE(client->Await().keep_alive());
@@ -92,29 +92,29 @@
 
 // Guards against an off-by-one in the body limit of 64 KiB.
 TEST(Gateway, AcceptsBodiesOfMaximumSize) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  EXPECT_EQ(world.host().requests[0].http.body().size(), 64u * 1024);
-  world.host().requests[0].Answer(200, std::string(64 * 1024, 'y'));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  EXPECT_EQ(harness.host().requests[0].http.body().size(), 64u * 1024);
+  harness.host().requests[0].Answer(200, std::string(64 * 1024, 'y'));
   EXPECT_EQ(client->Await().body().size(), 64u * 1024);
 }
 
-struct BadInput {
-  std::string what, text;
+struct LocallyAnsweredCase {
+  std::string description, text;
   unsigned status;
 };
 
 // Expects each input to be answered by the gateway with its status, without reaching a host.
-void ExpectAnsweredHere(World& world, const std::vector<BadInput>& inputs) {
-  for (const BadInput& input : inputs) {
-    SCOPED_TRACE(input.what);
-    const auto client = world.Connect();
+void ExpectAnsweredLocally(GatewayHarness& harness, const std::vector<LocallyAnsweredCase>& inputs) {
+  for (const LocallyAnsweredCase& input : inputs) {
+    SCOPED_TRACE(input.description);
+    const auto client = harness.Connect();
     client->Send(input.text);
     EXPECT_EQ(client->Await().result_int(), input.status);
   }
-  EXPECT_TRUE(world.host().requests.empty());
+  EXPECT_TRUE(harness.host().requests.empty());
 }
 
 // Guards against malformed requests: they must get a 4xx that does not invite a retry, reach no host, and
@@ -122,7 +122,7 @@
 TEST(Gateway, AnswersMalformedRequestsLocally) {
   const std::string head = "GET /api HTTP/1.1\r\nHost: b\r\n";
   const std::string good = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
-  const std::vector<BadInput> inputs = {
+  const std::vector<LocallyAnsweredCase> inputs = {
       {"no HTTP", "BOGUS\r\n\r\n", 400},
       {"binary", std::string("\x16\x03\x01\x02\0\x01\r\n\r\n", 10), 400},
       {"bad length", "POST /api HTTP/1.1\r\nHost: b\r\nContent-Length: x\r\n\r\n", 400},
@@ -144,46 +144,46 @@
       {"unsafe class by GET", head + "Req-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n", 405},
       {"keyed class without a key", ApiRequest("a", "key"), 400},
   };
-  World world;
-  ExpectAnsweredHere(world, inputs);
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  ExpectAnsweredLocally(harness, inputs);
+  const auto client = harness.Connect();
   client->Send(ApiRequest("fine"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].Answer(200, "");
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  harness.host().requests[0].Answer(200, "");
   EXPECT_EQ(client->Await().result(), http::status::ok);
 }
 
 // Guards against two concurrent requests with the same id: their outcomes could not be told apart.
 TEST(Gateway, RejectsARequestIdInUseWithConflict) {
-  World world;
-  const auto first = world.Connect(), second = world.Connect();
+  GatewayHarness harness;
+  const auto first = harness.Connect(), second = harness.Connect();
   first->Send(ApiRequest("r1"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
   second->Send(ApiRequest("r1"));
   EXPECT_EQ(second->Await().result(), http::status::conflict);
-  world.host().requests[0].Answer(200, "");
+  harness.host().requests[0].Answer(200, "");
   EXPECT_EQ(first->Await().result(), http::status::ok);
 }
 
 // Guards against a refusal that is delayed or lacks Retry-After.
 TEST(Gateway, RefusalCarriesRetryAfter) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay", "0m"));  // no time for an attempt
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
-  EXPECT_TRUE(world.host().requests.empty());
+  EXPECT_TRUE(harness.host().requests.empty());
 }
 
 // A host's reaction to a request, and whether the request may have run.
-struct Treatment {
-  std::string what;
-  std::function<void(const Peer::ReceivedRequest&)> treat;
+struct HostReaction {
+  std::string description;
+  std::function<void(const Peer::ReceivedRequest&)> react;
   bool may_have_run;
 };
 
-const std::vector<Treatment>& Treatments() {
-  static const std::vector<Treatment> all = {
+const std::vector<HostReaction>& HostReactions() {
+  static const std::vector<HostReaction> all = {
       {"reset", [](const auto& r) { r.connection->Reset(); }, true},
       {"closed", [](const auto& r) { r.connection->Close(); }, true},
       {"truncated response",
@@ -250,37 +250,37 @@
 // Guards against running an unsafe request twice: it may be retried only if it never ran. In doubt the client
 // gets a failure, never a refusal. The first attempt is treated as given; a second one would be served.
 TEST(Gateway, RetriesUnsafeRequestsOnlyIfTheyNeverRan) {
-  for (const Treatment& treatment : Treatments()) {
-    SCOPED_TRACE(treatment.what);
-    World world(2);
+  for (const HostReaction& reaction : HostReactions()) {
+    SCOPED_TRACE(reaction.description);
+    GatewayHarness harness(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::ReceivedRequest& request) {
-        if (tries++ == 0) return treatment.treat(request);
+      harness.host(i).serve = [&](const Peer::ReceivedRequest& request) {
+        if (tries++ == 0) return reaction.react(request);
         request.Answer(200, "second");
       };
     }
-    const auto client = world.Connect();
+    const auto client = harness.Connect();
     client->Send(ApiRequest("r1", "pay"));
-    EXPECT_EQ(client->Await().result_int(), treatment.may_have_run ? 502u : 200u);
-    EXPECT_EQ(tries, treatment.may_have_run ? 1 : 2);
+    EXPECT_EQ(client->Await().result_int(), reaction.may_have_run ? 502u : 200u);
+    EXPECT_EQ(tries, reaction.may_have_run ? 1 : 2);
     EXPECT_EQ(client->answers().size(), 1u);
   }
 }
 
 // Guards against failing a safe request because of one host.
 TEST(Gateway, RetriesSafeRequestsAfterAnyFailure) {
-  for (const Treatment& treatment : Treatments()) {
-    SCOPED_TRACE(treatment.what);
-    World world(2);
+  for (const HostReaction& reaction : HostReactions()) {
+    SCOPED_TRACE(reaction.description);
+    GatewayHarness harness(2);
     int tries = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::ReceivedRequest& request) {
-        if (tries++ == 0) return treatment.treat(request);
+      harness.host(i).serve = [&](const Peer::ReceivedRequest& request) {
+        if (tries++ == 0) return reaction.react(request);
         request.Answer(200, "second");
       };
     }
-    const auto client = world.Connect();
+    const auto client = harness.Connect();
     client->Send(ApiRequest("r1"));
     EXPECT_EQ(client->Await().body(), "second");
   }
@@ -291,14 +291,14 @@
 std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::ReceivedRequest&)>& fail) {
   ::testing::internal::CaptureStderr();
   {
-    World world(4);
+    GatewayHarness harness(4);
     std::array<int, 4> taken{};
     for (std::size_t i = 0; i < taken.size(); ++i) {
-      world.host(i).serve = [&, i](const Peer::ReceivedRequest& request) {
+      harness.host(i).serve = [&, i](const Peer::ReceivedRequest& request) {
         ++taken[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
-    const auto client = world.Connect();
+    const auto client = harness.Connect();
     for (std::size_t i = 1; i <= 160; ++i) {
       client->Send(ApiRequest("r" + std::to_string(i), "pay"));
       EXPECT_NE(client->Await(i).result_int(), 503u);  // sent to a host, whatever the outcome
@@ -327,32 +327,32 @@
 TEST(Gateway, PausesAHostThatDeclinesARequest) {
   auto settings = TestSettings();
   settings.erase("report");
-  World world(2, settings);
+  GatewayHarness harness(2, settings);
   constexpr auto kService = std::chrono::seconds(1);  // much longer than the rest of the test
-  asio::steady_timer served(world.io, kService);
-  const auto one = world.Connect(), two = world.Connect();
+  asio::steady_timer served(harness.io, kService);
+  const auto one = harness.Connect(), two = harness.Connect();
   one->Send(ApiRequest("r1"));
   two->Send(ApiRequest("r2"));
   ASSERT_TRUE(
-      world.Until([&] { return world.host(0).requests.size() + world.host(1).requests.size() == 2; }));
-  ASSERT_EQ(world.host(0).requests.size(), 1u);
+      harness.Until([&] { return harness.host(0).requests.size() + harness.host(1).requests.size() == 2; }));
+  ASSERT_EQ(harness.host(0).requests.size(), 1u);
   bool due = false;
   served.async_wait([&](error_code) { due = true; });
-  ASSERT_TRUE(world.Until([&] { return due; }));
-  for (std::size_t i = 0; i < 2; ++i) world.host(i).requests[0].Answer(200, "");
+  ASSERT_TRUE(harness.Until([&] { return due; }));
+  for (std::size_t i = 0; i < 2; ++i) harness.host(i).requests[0].Answer(200, "");
   one->Await();
   two->Await();
 
   int declined = 0;
-  world.host(0).serve = [&](const Peer::ReceivedRequest& request) {
+  harness.host(0).serve = [&](const Peer::ReceivedRequest& request) {
     ++declined;
     request.Answer(503, "", "Srv-Declined", "1");
   };
   std::vector<std::unique_ptr<Client>> clients;
   for (std::size_t i = 0; i < 5; ++i) {  // the other host gets them all and looks more loaded with each
-    clients.push_back(world.Connect());
+    clients.push_back(harness.Connect());
     clients.back()->Send(ApiRequest("s" + std::to_string(i)));
-    ASSERT_TRUE(world.Until([&] { return world.host(1).requests.size() == i + 2; }));
+    ASSERT_TRUE(harness.Until([&] { return harness.host(1).requests.size() == i + 2; }));
   }
   EXPECT_EQ(declined, 1);
 }
@@ -361,14 +361,14 @@
 TEST(Gateway, KeepsTheConcurrencyLimitWhenResponsesAreLost) {
   auto settings = TestSettings();
   settings.erase("report");
-  World world(1, settings);
-  Peer& host = world.host();
+  GatewayHarness harness(1, settings);
+  Peer& host = harness.host();
   host.serve = [&](const Peer::ReceivedRequest& request) {
     if (request.http["Req-Id"].starts_with("lost")) return;
-    const auto work = std::make_shared<asio::steady_timer>(world.io, std::chrono::milliseconds(50));
+    const auto work = std::make_shared<asio::steady_timer>(harness.io, std::chrono::milliseconds(50));
     work->async_wait([work, request](error_code) { request.Answer(200, ""); });
   };
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   std::size_t sent = 0;
   const auto ask = [&] {
     client->Send(ApiRequest("r" + std::to_string(++sent)));
@@ -377,7 +377,7 @@
   for (int i = 0; i < 10; ++i) ask();
   std::vector<std::unique_ptr<Client>> others;
   for (int i = 0; i < 6; ++i) {
-    others.push_back(world.Connect());
+    others.push_back(harness.Connect());
     others.back()->Send(ApiRequest("lost" + std::to_string(i), "pay", "900m"));
   }
   while (!std::all_of(others.begin(), others.end(), [](const auto& o) { return o->answers().size() == 1; })) {
@@ -387,14 +387,14 @@
   host.serve = nullptr;
   const std::size_t before = host.requests.size();
   for (int i = 0; i < 5; ++i) others[i]->Send(ApiRequest("held" + std::to_string(i)));
-  EXPECT_TRUE(RunUntil(world.io, [&] { return host.requests.size() == before + 5; }));
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return host.requests.size() == before + 5; }));
 }
 
 // Guards against taking a refused connection for a request that may have run: the client may retry.
 TEST(Gateway, RefusedConnectIsARefusalNotAFailure) {
-  World world;
-  world.host().StopListening();
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  harness.host().StopListening();
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay", "300m"));
   EXPECT_EQ(client->Await().result_int(), 503u);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
@@ -403,15 +403,15 @@
 // Guards against a stalled host: the request must fail in time, with exactly one response, and the connection
 // must be closed so that a late response can't reach another client.
 TEST(Gateway, TimesOutAStalledHost) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   const auto begun = std::chrono::steady_clock::now();
   client->Send(ApiRequest("r1", "pay", "400m"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
   EXPECT_EQ(client->Await().result_int(), 502u);
   EXPECT_GE(std::chrono::steady_clock::now() - begun, std::chrono::milliseconds(300));
-  ASSERT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
-  world.host().requests[0].Answer(200, "late");
+  ASSERT_TRUE(harness.Until([&] { return harness.host().connections[0]->ended; }));
+  harness.host().requests[0].Answer(200, "late");
   client->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");  // must get the next response on the connection
   EXPECT_EQ(client->Await(2).body(), "");
   EXPECT_EQ(client->answers().size(), 2u);
@@ -420,20 +420,20 @@
 // Guards against needless connects, which cost hosts work: sequential requests share a connection, and of
 // several idle ones the most recently used is taken.
 TEST(Gateway, ReusesTheMostRecentlyUsedConnection) {
-  World world;
-  Peer& host = world.host();
-  const auto one = world.Connect(), two = world.Connect();
+  GatewayHarness harness;
+  Peer& host = harness.host();
+  const auto one = harness.Connect(), two = harness.Connect();
   one->Send(ApiRequest("r1"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 1; }));
   two->Send(ApiRequest("r2"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
+  ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 2; }));
   EXPECT_EQ(host.connections.size(), 2u);
   host.requests[0].Answer(200, "");
   one->Await();
   host.requests[1].Answer(200, "");
   two->Await();
   one->Send(ApiRequest("r3"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 3; }));
+  ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 3; }));
   EXPECT_EQ(host.connections.size(), 2u);
   EXPECT_EQ(host.requests[2].connection, host.requests[1].connection);
 }
@@ -441,10 +441,10 @@
 // Guards against writing to a connection that the host closed while it was idle: the reset would fail an
 // unsafe request.
 TEST(Gateway, DetectsConnectionsClosedWhileIdle) {
-  World world;
-  Peer& host = world.host();
+  GatewayHarness harness;
+  Peer& host = harness.host();
   host.serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   for (std::size_t i = 1; i <= 6; ++i) {
     client->Send(ApiRequest("r" + std::to_string(i), "pay"));
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
@@ -455,16 +455,16 @@
 
 // Guards against giving an unsolicited response to the next request.
 TEST(Gateway, DropsConnectionsWithUnsolicitedResponses) {
-  World world;
-  Peer& host = world.host();
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  Peer& host = harness.host();
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 1; }));
   host.requests[0].Answer(200, "one");
   EXPECT_EQ(client->Await().body(), "one");
   host.requests[0].Answer(200, "stray");
   client->Send(ApiRequest("r2"));
-  ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2 || client->answers().size() == 2; }));
+  ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 2 || client->answers().size() == 2; }));
   ASSERT_EQ(host.requests.size(), 2u);
   host.requests[1].Answer(200, "two");
   EXPECT_EQ(client->Await(2).body(), "two");
@@ -472,11 +472,11 @@
 
 // Guards against taking an interim (1xx) response for the final one.
 TEST(Gateway, SkipsInterimResponses) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].connection->Raw(
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  harness.host().requests[0].connection->Raw(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfinal");
   EXPECT_EQ(client->Await().result(), http::status::ok);
@@ -487,21 +487,21 @@
 TEST(Gateway, DoesNotReuseConnectionsWithBytesAfterTheResponse) {
   for (const bool at_once : {true, false}) {
     SCOPED_TRACE(at_once);
-    World world;
-    Peer& host = world.host();
-    const auto client = world.Connect();
+    GatewayHarness harness;
+    Peer& host = harness.host();
+    const auto client = harness.Connect();
     client->Send(ApiRequest("r1"));
-    ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
+    ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 1; }));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
                       extra_bytes = "HTTP/1.1 200 OK\r\nConte";
     host.requests[0].connection->Raw(at_once ? answer + extra_bytes : answer);
     EXPECT_EQ(client->Await().body(), "one");
     if (!at_once) {
       host.requests[0].connection->Raw(extra_bytes);
-      EXPECT_TRUE(world.Until([&] { return host.connections[0]->ended; }));
+      EXPECT_TRUE(harness.Until([&] { return host.connections[0]->ended; }));
     }
     client->Send(ApiRequest("r2"));
-    ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
+    ASSERT_TRUE(harness.Until([&] { return host.requests.size() == 2; }));
     EXPECT_NE(host.requests[1].connection, host.requests[0].connection);
     host.requests[1].Answer(200, "two");
     EXPECT_EQ(client->Await(2).body(), "two");
@@ -527,10 +527,10 @@
       head + "Req-Id: b\r\nContent-Length: 0\r\n\r\n" + hidden,
       head + "Req-Deadline: 90m\r\nContent-Length: 0\r\n\r\n" + hidden,
   };
-  World world;
+  GatewayHarness harness;
   for (const std::string& text : bad) {
     SCOPED_TRACE(text);
-    const auto client = world.Connect();
+    const auto client = harness.Connect();
     client->Send(text);
     const unsigned status = client->Await().result_int();
     EXPECT_TRUE(status == 400 || status == 413) << status;
@@ -538,18 +538,18 @@
     EXPECT_TRUE(client->AwaitEnd());
     EXPECT_EQ(client->answers().size(), 1u);
   }
-  EXPECT_TRUE(world.host().requests.empty());
-  const auto usual = world.Connect();  // a plain chunked coding is accepted
+  EXPECT_TRUE(harness.host().requests.empty());
+  const auto usual = harness.Connect();  // a plain chunked coding is accepted
   usual->Send(head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  EXPECT_EQ(world.host().requests[0].http.body(), "body");
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  EXPECT_EQ(harness.host().requests[0].http.body(), "body");
 }
 
 // Guards the platform's hosts, which get paths unchanged, against paths and messages that they could
 // interpret differently than the gateway. Each case was once forwarded or rejected wrongly.
 TEST(Gateway, RejectsAmbiguousRequests) {
   const std::string fields = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n\r\n";
-  const std::vector<BadInput> inputs = {
+  const std::vector<LocallyAnsweredCase> inputs = {
       {"dot segments", "GET /api/../api HTTP/1.1\r\nHost: b\r\n" + fields, 400},
       {"percent-encoded letters", "GET /%61pi HTTP/1.1\r\nHost: b\r\n" + fields, 400},
       {"double slashes", "GET /api//x HTTP/1.1\r\nHost: b\r\n" + fields, 400},
@@ -558,13 +558,13 @@
       {"a transfer coding in HTTP/1.0",
        "GET /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n" + fields + "0\r\n\r\n", 400},
   };
-  World world;
-  ExpectAnsweredHere(world, inputs);
-  const auto absolute = world.Connect();
+  GatewayHarness harness;
+  ExpectAnsweredLocally(harness, inputs);
+  const auto absolute = harness.Connect();
   absolute->Send("GET http://b/api?x HTTP/1.1\r\nHost: other\r\n" + fields);
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  EXPECT_EQ(world.host().requests[0].http.target(), "/api?x");
-  EXPECT_EQ(world.host().requests[0].http["Host"], "b");
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  EXPECT_EQ(harness.host().requests[0].http.target(), "/api?x");
+  EXPECT_EQ(harness.host().requests[0].http["Host"], "b");
 }
 
 // Admission handler for tests of the HTTP server alone, without a pool: rejects nothing.
@@ -640,52 +640,52 @@
 // Guards a change of the discovery address: the pending call to the old address is dropped, the complete list
 // is requested from the new one, and a reload with the same address has no effect.
 TEST(Gateway, WatchesDiscoveryAtItsNewAddressAfterAReload) {
-  World world;
-  ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  Peer moved(world.io), host(world.io);
+  GatewayHarness harness;
+  ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
+  Peer moved(harness.io), host(harness.io);
   host.serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, "new"); };
   gateway::Config config;
   config.discovery = moved.address();
   // In transit when the address changes; its host must not be used.
-  world.discovery.requests[0].Answer(200, List(99, true, {Member("h9", world.host().address())}).dump());
-  world.gateway->Reload(config);
-  world.gateway->Reload(config);
-  ASSERT_TRUE(world.Until([&] { return moved.requests.size() == 1; }));
+  harness.discovery.requests[0].Answer(200, List(99, true, {Member("h9", harness.host().address())}).dump());
+  harness.gateway->Reload(config);
+  harness.gateway->Reload(config);
+  ASSERT_TRUE(harness.Until([&] { return moved.requests.size() == 1; }));
   EXPECT_EQ(moved.requests[0].http.target(), "/discovery/hosts");
-  EXPECT_TRUE(world.Until([&] { return world.discovery.connections[0]->ended; }));
+  EXPECT_TRUE(harness.Until([&] { return harness.discovery.connections[0]->ended; }));
   moved.requests[0].Answer(200, List(3, true, {Member("h1", host.address())}).dump());
-  ASSERT_TRUE(world.Until([&] { return moved.requests.size() == 2; }));
+  ASSERT_TRUE(harness.Until([&] { return moved.requests.size() == 2; }));
   EXPECT_EQ(std::string(moved.requests[1].http.target()).find("/discovery/hosts?after=3&"), 0u);
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1"));
   EXPECT_EQ(client->Await().body(), "new");
   EXPECT_EQ(moved.connections.size(), 1u);
-  EXPECT_EQ(world.discovery.requests.size(), 1u);
+  EXPECT_EQ(harness.discovery.requests.size(), 1u);
 }
 
 // Guards against work for a client that disconnected: the attempt is cancelled by closing its connection.
 TEST(Gateway, CancelsTheAttemptWhenTheClientDisconnects) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  client->Leave();
-  EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
-  const auto other = world.Connect();  // the id can be used again
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
+  client->Disconnect();
+  EXPECT_TRUE(harness.Until([&] { return harness.host().connections[0]->ended; }));
+  const auto other = harness.Connect();  // the id can be used again
   other->Send(ApiRequest("r1"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
-  world.host().requests[1].Answer(200, "");
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
+  harness.host().requests[1].Answer(200, "");
   EXPECT_EQ(other->Await().result(), http::status::ok);
 }
 
 // Guards against responses out of order and against losing a request that arrives before the previous
 // response.
 TEST(Gateway, AnswersPipelinedRequestsInOrder) {
-  World world;
-  world.host().serve = [](const Peer::ReceivedRequest& request) {
+  GatewayHarness harness;
+  harness.host().serve = [](const Peer::ReceivedRequest& request) {
     request.Answer(200, std::string(request.http["Req-Id"]));
   };
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1") + ApiRequest("r2") + ApiRequest("r3"));
   client->Await(3);
   ASSERT_EQ(client->answers().size(), 3u);
@@ -695,26 +695,26 @@
 // Guards against sending to a draining host: the update takes effect with the next attempt, and idle
 // connections to the host are closed.
 TEST(Gateway, SendsNothingToADrainingHost) {
-  World world(2);
-  for (auto& host : world.hosts)
+  GatewayHarness harness(2);
+  for (auto& host : harness.hosts)
     host->serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   std::size_t sent = 0;
-  while (world.host(0).requests.empty() && sent < 1000) {
+  while (harness.host(0).requests.empty() && sent < 1000) {
     client->Send(ApiRequest("r" + std::to_string(++sent)));
     client->Await(sent);
   }
-  ASSERT_FALSE(world.host(0).requests.empty());
-  ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  world.discovery.requests[0].Answer(
-      200, List(42, false, {Member("h0", world.host(0).address(), "draining")}).dump());
-  ASSERT_TRUE(world.Until([&] { return world.host(0).connections[0]->ended; }));
-  const std::size_t before = world.host(0).requests.size();
+  ASSERT_FALSE(harness.host(0).requests.empty());
+  ASSERT_TRUE(harness.Until([&] { return harness.discovery.requests.size() == 1; }));
+  harness.discovery.requests[0].Answer(
+      200, List(42, false, {Member("h0", harness.host(0).address(), "draining")}).dump());
+  ASSERT_TRUE(harness.Until([&] { return harness.host(0).connections[0]->ended; }));
+  const std::size_t before = harness.host(0).requests.size();
   for (int i = 0; i < 20; ++i) {
     client->Send(ApiRequest("r" + std::to_string(++sent)));
     EXPECT_EQ(client->Await(sent).result(), http::status::ok);
   }
-  EXPECT_EQ(world.host(0).requests.size(), before);
+  EXPECT_EQ(harness.host(0).requests.size(), before);
 }
 
 // Guards the time between connect and write: a host that starts draining in it must get no byte. The connect
@@ -785,10 +785,10 @@
 // Guards the discovery watch: it starts from the configured list and continues from each response; after any
 // failed call it resumes from the last good revision.
 TEST(Gateway, ResumesTheWatchAfterFailures) {
-  World world;
-  Peer& discovery = world.discovery;
+  GatewayHarness harness;
+  Peer& discovery = harness.discovery;
   const auto watch_target = [&](std::size_t n) {
-    EXPECT_TRUE(world.Until([&] { return discovery.requests.size() >= n; })) << "call " << n;
+    EXPECT_TRUE(harness.Until([&] { return discovery.requests.size() >= n; })) << "call " << n;
     return discovery.requests.size() < n ? std::string()
                                          : std::string(discovery.requests[n - 1].http.target());
   };
@@ -798,31 +798,31 @@
   EXPECT_EQ(discovery.connections.size(), 1u);
   discovery.requests[1].Answer(200, "{\"revision\":43,");
   EXPECT_NE(watch_target(3).find("after=42&"), std::string::npos);
-  nlohmann::json wrong = List(43, true, {Member("h9", world.host().address(), "dancing")});
+  nlohmann::json wrong = List(43, true, {Member("h9", harness.host().address(), "dancing")});
   discovery.requests[2].Answer(200, wrong.dump());
   EXPECT_NE(watch_target(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Answer(503, "");
   EXPECT_NE(watch_target(5).find("after=42&"), std::string::npos);
   discovery.requests[4].connection->Reset();
   EXPECT_NE(watch_target(6).find("after=42&"), std::string::npos);
-  discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
+  discovery.requests[5].Answer(200, List(44, true, {Member("h0", harness.host().address())}).dump());
   EXPECT_NE(watch_target(7).find("after=44&"), std::string::npos);
 }
 
 // Guards against a flood of connections: idle ones must be closed so that a new client is served.
 TEST(Gateway, EvictsIdleConnectionsUnderAFloodOfNewOnes) {
-  World world(1, TestSettings(), 200);  // 90 of them for clients
-  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
+  GatewayHarness harness(1, TestSettings(), 200);  // 90 of them for clients
+  harness.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> flood;
   for (int i = 0; i < 150; ++i) {
-    flood.push_back(world.Connect());
-    world.io.poll();
+    flood.push_back(harness.Connect());
+    harness.io.poll();
   }
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1"));
   EXPECT_EQ(client->Await().result(), http::status::ok);
   std::size_t closed = 0;
-  EXPECT_TRUE(world.Until([&] {
+  EXPECT_TRUE(harness.Until([&] {
     closed = std::count_if(flood.begin(), flood.end(), [](const auto& c) { return c->ended(); });
     return closed >= 61;
   }));
@@ -831,10 +831,10 @@
 
 // Guards clients that wait in the listen queue while all connections have requests in progress.
 TEST(Gateway, AcceptsWaitingClientsAsBusyConnectionsEnd) {
-  World world(1, TestSettings(), 10);  // 3 for clients
+  GatewayHarness harness(1, TestSettings(), 10);  // 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
-    clients.push_back(world.Connect());
+    clients.push_back(harness.Connect());
     clients.back()->Send(ApiRequest("r" + std::to_string(i), "view", "0m"));
   }
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
@@ -844,11 +844,11 @@
 // tenths of the descriptors the longest idle ones are closed. Not during a stop, when clients can't open new
 // ones.
 TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheSoftLimit) {
-  World world(1, TestSettings(), 100);
-  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
+  GatewayHarness harness(1, TestSettings(), 100);
+  harness.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
   const auto ask_once = [&] {
-    clients.push_back(world.Connect());
+    clients.push_back(harness.Connect());
     clients.back()->Send(ApiRequest("r" + std::to_string(clients.size())));
     EXPECT_EQ(clients.back()->Await().result(), http::status::ok);
   };
@@ -859,7 +859,7 @@
   for (std::size_t i = 0; i < 5; ++i) EXPECT_TRUE(clients[i]->AwaitEnd());
   EXPECT_EQ(open(), 30);
 
-  world.gateway->Stop([] {}, {20000, 20000, 20000});
+  harness.gateway->Stop([] {}, {20000, 20000, 20000});
   ask_once();
   clients[5]->Send(ApiRequest("again"));
   EXPECT_EQ(clients[5]->Await(2).result(), http::status::ok);
@@ -869,62 +869,62 @@
 // Guards a planned restart: /up reports not ready, but connections are still accepted; all accepted requests
 // are answered, with Connection: close; idle connections are closed; then the stop is done.
 TEST(Gateway, GracefulStopAnswersAllAcceptedRequests) {
-  World world;
-  const auto idle = world.Connect(), busy = world.Connect();
+  GatewayHarness harness;
+  const auto idle = harness.Connect(), busy = harness.Connect();
   idle->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(idle->Await().result(), http::status::ok);
   busy->Send(ApiRequest("r1", "pay"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
   bool done = false;
-  world.gateway->Stop([&] { done = true; }, {500, 500, 20000});
-  const auto late = world.Connect();
+  harness.gateway->Stop([&] { done = true; }, {500, 500, 20000});
+  const auto late = harness.Connect();
   late->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(late->Await().result(), http::status::service_unavailable);
-  const auto queued = world.Connect();
+  const auto queued = harness.Connect();
   queued->Send(ApiRequest("r2", "pay"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 2; }));
   EXPECT_TRUE(idle->AwaitEnd());
   EXPECT_FALSE(done);
-  for (const auto& request : world.host().requests) request.Answer(200, "");
+  for (const auto& request : harness.host().requests) request.Answer(200, "");
   for (Client* client : {busy.get(), queued.get()}) {
     EXPECT_EQ(client->Await().result(), http::status::ok);
     EXPECT_FALSE(client->Await().keep_alive());
     EXPECT_TRUE(client->AwaitEnd());
-    client->Leave();
+    client->Disconnect();
   }
-  late->Leave();
-  idle->Leave();
-  EXPECT_TRUE(world.Until([&] { return done; }));
+  late->Disconnect();
+  idle->Disconnect();
+  EXPECT_TRUE(harness.Until([&] { return done; }));
 }
 
 // Guards clients that can't reach another gateway yet: until the drain begins their connections are served as
 // usual.
 TEST(Gateway, ServesKeepAliveConnectionsUntilTheDrainBegins) {
-  World world;
-  world.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  harness.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
+  const auto client = harness.Connect();
   bool done = false;
-  world.gateway->Stop([&] { done = true; }, {1, 1000, 20000});
+  harness.gateway->Stop([&] { done = true; }, {1, 1000, 20000});
   for (std::size_t i = 1; i <= 3; ++i) {
     client->Send(ApiRequest("r" + std::to_string(i)));
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
   }
   EXPECT_TRUE(client->answers()[0].keep_alive());
   EXPECT_TRUE(client->AwaitEnd());  // the drain closes idle connections
-  EXPECT_TRUE(world.Until([&] { return done; }));
+  EXPECT_TRUE(harness.Until([&] { return done; }));
 }
 
 // Guards a stop with a host that never answers: pending requests must be failed before the platform kills the
 // process.
 TEST(Gateway, FailsPendingRequestsAtTheEndOfTheStop) {
-  World world;
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto client = harness.Connect();
   client->Send(ApiRequest("r1", "pay", "20000m"));
-  ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.host().requests.size() == 1; }));
   bool done = false;
-  world.gateway->Stop([&] { done = true; });
+  harness.gateway->Stop([&] { done = true; });
   EXPECT_EQ(client->Await().result(), http::status::gateway_timeout);
-  EXPECT_TRUE(world.Until([&] { return done; }));
+  EXPECT_TRUE(harness.Until([&] { return done; }));
 }
 
 // Guards against invalid values of Req-Cost: they must be ignored, and the request accepted.
@@ -979,16 +979,16 @@
 TEST(Gateway, StopsSoonerWithShortDeadlines) {
   nlohmann::json settings = TestSettings();
   for (auto& c : settings["categories"]) c["sloMs"] = c["deadlineMs"] = 400.0;
-  World world(1, settings);
-  const auto kept = world.Connect();
+  GatewayHarness harness(1, settings);
+  const auto kept = harness.Connect();
   kept->Send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   EXPECT_EQ(kept->Await().result(), http::status::ok);
   const Millis begun = gateway::Now();
   bool done = false;
-  world.gateway->Stop([&] { done = true; });
+  harness.gateway->Stop([&] { done = true; });
   EXPECT_TRUE(kept->AwaitEnd());
-  kept->Leave();
-  EXPECT_TRUE(world.Until([&] { return done; }));
+  kept->Disconnect();
+  EXPECT_TRUE(harness.Until([&] { return done; }));
   EXPECT_LT(gateway::Now() - begun,
             gateway::StopTimes().drain);  // when a stop with long deadlines would have begun to drain
 }
--- a/tests/peers.hpp
+++ b/tests/peers.hpp
@@ -151,7 +151,7 @@
     state_->socket.connect(address);
     Read(state_);
   }
-  ~Client() { Leave(); }
+  ~Client() { Disconnect(); }
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
@@ -159,7 +159,7 @@
     error_code ignored;  // the gateway may close before it has read everything
     asio::write(state_->socket, asio::buffer(text), ignored);
   }
-  void Leave() {
+  void Disconnect() {
     error_code ignored;
     state_->socket.close(ignored);
   }
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -16,7 +16,7 @@
 namespace opalswitch::testing {
 namespace {
 
-constexpr char kTop[] = R"([process]
+constexpr char kCommonConfig[] = R"([process]
 descriptors = 600
 [[listener]]
 id = "in"
@@ -36,8 +36,8 @@
 )";
 
 std::string PoolText(const std::string& id, const std::vector<tcp::endpoint>& hosts,
-                     const std::string& more = "") {
-  std::string text = "[[pool]]\nid = \"" + id + "\"\n" + more;
+                     const std::string& extra = "") {
+  std::string text = "[[pool]]\nid = \"" + id + "\"\n" + extra;
   for (const tcp::endpoint& host : hosts) text += "[[pool.host]]\naddress = \"" + ToText(host) + "\"\n";
   return text;
 }
@@ -55,20 +55,20 @@
   return parsed.services;
 }
 
-std::string Get(const std::string& target, const std::string& more = "") {
-  return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + more + "\r\n";
+std::string Get(const std::string& target, const std::string& extra = "") {
+  return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + extra + "\r\n";
 }
-std::string Post(const std::string& target, const std::string& body, const std::string& more = "") {
+std::string Post(const std::string& target, const std::string& body, const std::string& extra = "") {
   return "POST " + target + " HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(body.size()) +
-         "\r\n" + more + "\r\n" + body;
+         "\r\n" + extra + "\r\n" + body;
 }
 
 // A gateway with scripted hosts on one event loop.
-struct World {
-  Peer& Host(HostFailure how = HostFailure::kNone, const std::string& name = "") {
+struct GatewayHarness {
+  Peer& Host(HostFailure failure = HostFailure::kNone, const std::string& name = "") {
     hosts.push_back(std::make_unique<Peer>(io));
     addresses.push_back(hosts.back()->address());
-    ScriptHost(*hosts.back(), how, name);
+    ScriptHost(*hosts.back(), failure, name);
     return *hosts.back();
   }
   void Start(const std::string& text) { gateway.emplace(io, Parsed(text), 7); }
@@ -87,12 +87,12 @@
 
 // Guards against requests sent to another pool than their route's, and against changed targets or headers.
 TEST(Services, RoutesEachRequestToItsPool) {
-  World world;
-  const auto a = world.Host(HostFailure::kNone, "from a").address(),
-             b = world.Host(HostFailure::kNone, "from b").address();
-  world.Start(std::string(kTop) + PoolText("a", {a}) + PoolText("b", {b}) + RoutesText("a") +
-              RoutesText("b"));
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  const auto a = harness.Host(HostFailure::kNone, "from a").address(),
+             b = harness.Host(HostFailure::kNone, "from b").address();
+  harness.Start(std::string(kCommonConfig) + PoolText("a", {a}) + PoolText("b", {b}) + RoutesText("a") +
+                RoutesText("b"));
+  const auto client = harness.Connect();
   client->Send(Get("/a/x?q=1"));
   EXPECT_EQ(client->Await(1).body(), "from a");
   client->Send(Get("/b"));
@@ -101,7 +101,7 @@
   EXPECT_EQ(client->Await(3).result_int(), 404u);
   client->Send(Post("/a", "change"));
   EXPECT_EQ(client->Await(4).body(), "from a");
-  const HttpRequest& got = world.hosts[0]->requests[0].http;
+  const HttpRequest& got = harness.hosts[0]->requests[0].http;
   EXPECT_EQ(got.target(), "/a/x?q=1");
   EXPECT_EQ(got["Host"], "h");
   EXPECT_EQ(got["X-Forwarded-For"], "127.0.0.1");
@@ -112,8 +112,8 @@
 
 // Guards what clients of a plain pool rely on: host responses below 500, and host errors, are forwarded.
 TEST(Services, ForwardsHostResponsesInAPlainPool) {
-  World world;
-  Peer& host = world.Host();
+  GatewayHarness harness;
+  Peer& host = harness.Host();
   host.serve = [](const Peer::ReceivedRequest& request) {
     const std::string target(request.http.target());
     const int status = std::stoi(target.substr(target.rfind('/') + 1));
@@ -123,9 +123,9 @@
       return request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
     request.Answer(status, "body", "X-Own", "1");
   };
-  world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
+  harness.Start(std::string(kCommonConfig) + PoolText("a", {host.address()}) + RoutesText("a"));
   std::size_t n = 0;
-  const auto client = world.Connect();
+  const auto client = harness.Connect();
   for (const int status : {200, 201, 301, 404, 418, 429}) {
     client->Send(Post("/a/" + std::to_string(status), "x"));
     const HttpResponse& answer = client->Await(++n);
@@ -142,24 +142,24 @@
   EXPECT_EQ(client->answers()[n - 1].count("Content-Length"), 0u);
   client->Send(Get("/a/304"));
   EXPECT_EQ(client->Await(++n).result_int(), 304u);
-  EXPECT_EQ(world.hosts[0]->requests.size(), 10u);
+  EXPECT_EQ(harness.hosts[0]->requests.size(), 10u);
 }
 
 // Guards against a body after a response to HEAD (RFC 9110 9.3.2).
 TEST(Services, AnswersHeadWithoutABody) {
-  World world;
-  Peer& host = world.Host();
+  GatewayHarness harness;
+  Peer& host = harness.Host();
   host.serve = [](const Peer::ReceivedRequest& request) {
     request.connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
   };
-  world.Start(std::string(kTop) + PoolText("a", {host.address()}) + RoutesText("a"));
-  tcp::socket socket(world.io);
-  socket.connect(world.gateway->address("in"));
+  harness.Start(std::string(kCommonConfig) + PoolText("a", {host.address()}) + RoutesText("a"));
+  tcp::socket socket(harness.io);
+  socket.connect(harness.gateway->address("in"));
   asio::write(socket, asio::buffer(std::string("HEAD /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")));
   std::string text;
   bool ended = false;
   asio::async_read(socket, asio::dynamic_buffer(text), [&](error_code, std::size_t) { ended = true; });
-  ASSERT_TRUE(world.Until([&] { return ended; }));
+  ASSERT_TRUE(harness.Until([&] { return ended; }));
   EXPECT_NE(text.find("200 OK"), std::string::npos) << text;
   EXPECT_NE(text.find("Content-Length: 77"), std::string::npos) << text;
   EXPECT_TRUE(text.ends_with("\r\n\r\n")) << text;
@@ -168,16 +168,16 @@
 // ---- Ambiguous requests ----------------------------------------------------------------------------
 
 // A raw request with the expected status and, if it is forwarded, the target and Host that the host gets.
-struct Raw {
-  std::string what, text;
+struct RawRequest {
+  std::string description, text;
   unsigned status;
-  std::string path = {}, host = {};
+  std::string forwarded_target = {}, forwarded_host = {};
 };
 
 // Guards hosts against requests that they would interpret differently than the gateway (RFC 9112, RFC 3986).
 TEST(Services, NormalizeOrRejectAmbiguousRequests) {
   const std::string end = "\r\n\r\n", h = " HTTP/1.1\r\nHost: h";
-  const std::vector<Raw> cases = {
+  const std::vector<RawRequest> cases = {
       {"dot segments", "GET /x/../a/./y" + h + end, 200, "/a/y", "h"},
       {"percent-encoded dot segments", "GET /x/%2e%2E/a" + h + end, 200, "/a", "h"},
       {"double slashes", "GET //a//y" + h + end, 200, "/a/y", "h"},
@@ -231,21 +231,21 @@
       {"a chunked body", "POST /a" + h + "\r\nTransfer-Encoding: Chunked" + end + "1\r\nx\r\n0" + end, 200,
        "/a", "h"},
   };
-  World world;
-  Peer& a = world.Host(HostFailure::kNone, "a");
-  Peer& b = world.Host(HostFailure::kNone, "b");
-  world.Start(std::string(kTop) + PoolText("a", {a.address()}) + PoolText("b", {b.address()}) +
-              RoutesText("a") + RoutesText("b"));
-  for (const Raw& raw : cases) {
-    SCOPED_TRACE(raw.what);
+  GatewayHarness harness;
+  Peer& a = harness.Host(HostFailure::kNone, "a");
+  Peer& b = harness.Host(HostFailure::kNone, "b");
+  harness.Start(std::string(kCommonConfig) + PoolText("a", {a.address()}) + PoolText("b", {b.address()}) +
+                RoutesText("a") + RoutesText("b"));
+  for (const RawRequest& raw : cases) {
+    SCOPED_TRACE(raw.description);
     const auto before = a.requests.size();
-    const auto client = world.Connect();
+    const auto client = harness.Connect();
     client->Send(raw.text);
     EXPECT_EQ(client->Await().result_int(), raw.status);
     ASSERT_EQ(a.requests.size(), before + (raw.status == 200 ? 1 : 0));
     if (raw.status != 200) continue;
-    EXPECT_EQ(a.requests.back().http.target(), raw.path);
-    EXPECT_EQ(a.requests.back().http["Host"], raw.host);
+    EXPECT_EQ(a.requests.back().http.target(), raw.forwarded_target);
+    EXPECT_EQ(a.requests.back().http["Host"], raw.forwarded_host);
     EXPECT_EQ(a.requests.back().http.count("Host"), 1u);
   }
   EXPECT_TRUE(b.requests.empty());
@@ -254,30 +254,30 @@
 // ---- Isolation of pools ----------------------------------------------------------------------------
 
 // Served share and 99th percentile (ms) of two pools.
-struct Shares {
+struct PoolResults {
   double one, two, one_p99, two_p99;
 };
 
 // Loads two healthy pools fully, and a third one whose host fails as given; without load on the third for
 // kNot.
-Shares LoadBeside(HostFailure how) {
-  World world;
-  const auto one = world.Host(HostFailure::kNone, "one").address(),
-             two = world.Host(HostFailure::kNone, "two").address();
-  world.Host(how, "three");
-  const auto broken = world.addresses.back();
-  world.Start(std::string(kTop) + PoolText("one", {one}) + PoolText("two", {two}) +
-              PoolText("three", {broken}) + RoutesText("one") + RoutesText("two") + RoutesText("three"));
-  const tcp::endpoint at = world.gateway->address("in");
+PoolResults LoadTwoPoolsBesideAThird(HostFailure failure) {
+  GatewayHarness harness;
+  const auto one = harness.Host(HostFailure::kNone, "one").address(),
+             two = harness.Host(HostFailure::kNone, "two").address();
+  harness.Host(failure, "three");
+  const auto broken = harness.addresses.back();
+  harness.Start(std::string(kCommonConfig) + PoolText("one", {one}) + PoolText("two", {two}) +
+                PoolText("three", {broken}) + RoutesText("one") + RoutesText("two") + RoutesText("three"));
+  const tcp::endpoint at = harness.gateway->address("in");
   // More clients than the broken pool's share of the client connections: it must not get the others' share
   // too.
   std::optional<Load> third;
-  if (how != HostFailure::kNone)
-    third.emplace(world.io, at, 250, 100000, [](std::size_t) { return Get("/three"); });
-  Load first(world.io, at, 16, 1500, [](std::size_t) { return Get("/one"); });
-  Load second(world.io, at, 16, 1500,
+  if (failure != HostFailure::kNone)
+    third.emplace(harness.io, at, 250, 100000, [](std::size_t) { return Get("/three"); });
+  Load first(harness.io, at, 16, 1500, [](std::size_t) { return Get("/one"); });
+  Load second(harness.io, at, 16, 1500,
               [](std::size_t i) { return i % 2 == 0 ? Get("/two") : Post("/two", "x"); });
-  EXPECT_TRUE(world.Until([&] { return first.Done() && second.Done(); }));
+  EXPECT_TRUE(harness.Until([&] { return first.Done() && second.Done(); }));
   EXPECT_EQ(first.Total(), 1500u);
   EXPECT_EQ(second.Total(), 1500u);
   return {first.ServedShare(), second.ServedShare(), first.Quantile(0.99), second.Quantile(0.99)};
@@ -288,8 +288,8 @@
 // Guards healthy pools against one that fails completely. Only the served share is bounded here; latencies
 // are compared in bench/, on a quiet machine.
 TEST_P(BesideABrokenPool, HealthyPoolsKeepTheirServedShare) {
-  const Shares alone = LoadBeside(HostFailure::kNone);
-  const Shares beside = LoadBeside(GetParam());
+  const PoolResults alone = LoadTwoPoolsBesideAThird(HostFailure::kNone);
+  const PoolResults beside = LoadTwoPoolsBesideAThird(GetParam());
   EXPECT_EQ(alone.one, 1);
   EXPECT_EQ(alone.two, 1);
   EXPECT_GE(beside.one, alone.one - 0.02);
@@ -298,7 +298,7 @@
   RecordProperty("p99_beside_us", static_cast<int>(beside.one_p99 * 1000));
 }
 
-std::string NameOf(const ::testing::TestParamInfo<HostFailure>& info) {
+std::string FailureName(const ::testing::TestParamInfo<HostFailure>& info) {
   static const char* const kNames[] = {"Not", "Hangs", "Refuses", "Errors", "Sends3GB"};
   return kNames[static_cast<int>(info.param)];
 }
@@ -306,45 +306,45 @@
 INSTANTIATE_TEST_SUITE_P(Services, BesideABrokenPool,
                          ::testing::Values(HostFailure::kHang, HostFailure::kRefuseConnections,
                                            HostFailure::kRespond500, HostFailure::kEndlessResponse),
-                         NameOf);
+                         FailureName);
 
 // Guards the descriptors of one pool against another that takes all it can get.
 TEST(Services, APoolThatExhaustsItsDescriptorsLeavesOthersTheirs) {
-  World world;
-  Peer& hung = world.Host(HostFailure::kHang);
-  Peer& good = world.Host(HostFailure::kNone, "good");
-  world.Start(std::string(kTop) +
-              PoolText("hung", {hung.address()}, "limits = { descriptors = { most = 5 } }\n") +
-              PoolText("good", {good.address()}, "limits = { descriptors = { guaranteed = 20 } }\n") +
-              RoutesText("hung") + RoutesText("good"));
+  GatewayHarness harness;
+  Peer& hung = harness.Host(HostFailure::kHang);
+  Peer& good = harness.Host(HostFailure::kNone, "good");
+  harness.Start(std::string(kCommonConfig) +
+                PoolText("hung", {hung.address()}, "limits = { descriptors = { most = 5 } }\n") +
+                PoolText("good", {good.address()}, "limits = { descriptors = { guaranteed = 20 } }\n") +
+                RoutesText("hung") + RoutesText("good"));
   std::vector<std::unique_ptr<Client>> waiting;
   for (int i = 0; i < 60; ++i) {
-    waiting.push_back(world.Connect());
+    waiting.push_back(harness.Connect());
     waiting.back()->Send(Post("/hung", "x"));
   }
-  ASSERT_TRUE(world.Until(
-      [&] { return world.gateway->pool("hung")->active_requests() > 5 && !hung.requests.empty(); }));
-  Load load(world.io, world.gateway->address("in"), 20, 400, [](std::size_t) { return Get("/good"); });
-  ASSERT_TRUE(world.Until([&] { return load.Done(); }));
+  ASSERT_TRUE(harness.Until(
+      [&] { return harness.gateway->pool("hung")->active_requests() > 5 && !hung.requests.empty(); }));
+  Load load(harness.io, harness.gateway->address("in"), 20, 400, [](std::size_t) { return Get("/good"); });
+  ASSERT_TRUE(harness.Until([&] { return load.Done(); }));
   EXPECT_EQ(load.served(), 400u);
   EXPECT_LE(hung.connections.size(), 5u);
-  EXPECT_LE(world.gateway->pool("hung")->connections(), 5u);
+  EXPECT_LE(harness.gateway->pool("hung")->connections(), 5u);
 }
 
 // Guards other tenants of a pool, and other pools, against one tenant that floods the pool.
 TEST(Services, AFloodOfOneTenantLeavesOtherTenantsAndPoolsServed) {
-  World world;
-  const auto one = world.Host(HostFailure::kNone, "one").address(),
-             two = world.Host(HostFailure::kNone, "two").address();
-  world.Start(std::string(kTop) +
-              "[[tenant]]\nid = \"flood\"\nshare = 1\n[[tenant]]\nid = \"calm\"\nshare = 0\n" +
-              PoolText("one", {one}, "limits = { in_flight = 2, queue = 60 }\n") + PoolText("two", {two}) +
-              RoutesText("one") + RoutesText("two"));
-  const tcp::endpoint at = world.gateway->address("in");
-  Load flood(world.io, at, 40, 100000, [](std::size_t) { return Get("/one", "Tenant: flood\r\n"); });
-  Load calm(world.io, at, 4, 300, [](std::size_t) { return Get("/one", "Tenant: calm\r\n"); });
-  Load other(world.io, at, 8, 600, [](std::size_t) { return Get("/two", "Tenant: calm\r\n"); });
-  ASSERT_TRUE(world.Until([&] { return calm.Done() && other.Done(); }));
+  GatewayHarness harness;
+  const auto one = harness.Host(HostFailure::kNone, "one").address(),
+             two = harness.Host(HostFailure::kNone, "two").address();
+  harness.Start(std::string(kCommonConfig) +
+                "[[tenant]]\nid = \"flood\"\nshare = 1\n[[tenant]]\nid = \"calm\"\nshare = 0\n" +
+                PoolText("one", {one}, "limits = { in_flight = 2, queue = 60 }\n") + PoolText("two", {two}) +
+                RoutesText("one") + RoutesText("two"));
+  const tcp::endpoint at = harness.gateway->address("in");
+  Load flood(harness.io, at, 40, 100000, [](std::size_t) { return Get("/one", "Tenant: flood\r\n"); });
+  Load calm(harness.io, at, 4, 300, [](std::size_t) { return Get("/one", "Tenant: calm\r\n"); });
+  Load other(harness.io, at, 8, 600, [](std::size_t) { return Get("/two", "Tenant: calm\r\n"); });
+  ASSERT_TRUE(harness.Until([&] { return calm.Done() && other.Done(); }));
   EXPECT_EQ(other.served(), 600u);
   EXPECT_GE(calm.ServedShare(), 0.98);
 }
@@ -352,12 +352,12 @@
 // Guards hosts against more requests a second than the pool's limit, and clients against a 429 without
 // Retry-After.
 TEST(Services, APoolEnforcesItsRequestRateLimit) {
-  World world;
-  Peer& host = world.Host(HostFailure::kNone, "a");
-  world.Start(std::string(kTop) +
-              PoolText("a", {host.address()}, "limits = { requests_per_second = 0.01, burst = 3 }\n") +
-              RoutesText("a"));
-  const auto client = world.Connect();
+  GatewayHarness harness;
+  Peer& host = harness.Host(HostFailure::kNone, "a");
+  harness.Start(std::string(kCommonConfig) +
+                PoolText("a", {host.address()}, "limits = { requests_per_second = 0.01, burst = 3 }\n") +
+                RoutesText("a"));
+  const auto client = harness.Connect();
   for (std::size_t i = 1; i <= 3; ++i) {
     client->Send(Get("/a"));
     EXPECT_EQ(client->Await(i).result_int(), 200u);
@@ -371,27 +371,28 @@
 
 // Guards the body memory of one pool against clients of another that announce bodies and never send them.
 TEST(Services, UnsentBodiesOfOnePoolLeaveMemoryForOthers) {
-  World world;
-  Peer& a = world.Host(HostFailure::kNone, "a");
-  Peer& b = world.Host(HostFailure::kNone, "b");
-  world.Start(std::string(kTop) +
-              PoolText("a", {a.address()}, "limits = { body_memory = { most = \"128KiB\" } }\n") +
-              PoolText("b", {b.address()}) + RoutesText("a") + RoutesText("b"));
+  GatewayHarness harness;
+  Peer& a = harness.Host(HostFailure::kNone, "a");
+  Peer& b = harness.Host(HostFailure::kNone, "b");
+  harness.Start(std::string(kCommonConfig) +
+                PoolText("a", {a.address()}, "limits = { body_memory = { most = \"128KiB\" } }\n") +
+                PoolText("b", {b.address()}) + RoutesText("a") + RoutesText("b"));
   std::vector<std::unique_ptr<Client>> stalled_uploads;
   for (int i = 0; i < 3; ++i) {
-    stalled_uploads.push_back(world.Connect());
+    stalled_uploads.push_back(harness.Connect());
     stalled_uploads.back()->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\nx");
   }
-  EXPECT_TRUE(world.Until([&] {
+  EXPECT_TRUE(harness.Until([&] {
     return std::count_if(stalled_uploads.begin(), stalled_uploads.end(),
                          [](const auto& c) { return !c->answers().empty(); }) == 1;
   }));
-  const auto usual = world.Connect();
+  const auto usual = harness.Connect();
   usual->Send(Post("/b", std::string(65536, 'x')));
   EXPECT_EQ(usual->Await().result_int(), 200u);
-  stalled_uploads[0]->Leave();  // releases its reserved memory
-  const auto next = world.Connect();
-  ASSERT_TRUE(world.Until([&] { return stalled_uploads.size() == 3 && world.gateway->connections() <= 4; }));
+  stalled_uploads[0]->Disconnect();  // releases its reserved memory
+  const auto next = harness.Connect();
+  ASSERT_TRUE(
+      harness.Until([&] { return stalled_uploads.size() == 3 && harness.gateway->connections() <= 4; }));
   next->Send(Post("/a", std::string(65536, 'x')));
   EXPECT_EQ(next->Await().result_int(), 200u);
 }
@@ -401,11 +402,11 @@
 // Guards a draining node listed by two pools: both must stop using it at the first report, although the other
 // pool's list is seconds behind and still says that it is up.
 TEST(Services, ADrainReportedByOnePoolAppliesToTheNodeInBothPools) {
-  World world;
-  Peer& shared = world.Host(HostFailure::kNone, "shared");
-  Peer& only_b = world.Host(HostFailure::kNone, "b");
-  Peer& only_a = world.Host(HostFailure::kNone, "a");
-  Peer discovery(world.io);
+  GatewayHarness harness;
+  Peer& shared = harness.Host(HostFailure::kNone, "shared");
+  Peer& only_b = harness.Host(HostFailure::kNone, "b");
+  Peer& only_a = harness.Host(HostFailure::kNone, "a");
+  Peer discovery(harness.io);
   const std::string path = ::testing::TempDir() + "forkwick-pool-a-" + std::to_string(getpid()) + ".json";
   const auto write = [&](const std::string& phase) {
     std::ofstream(path + ".new") << "{\"members\":[" << Member("n", shared.address(), phase).dump() << ","
@@ -413,34 +414,35 @@
     ASSERT_EQ(std::rename((path + ".new").c_str(), path.c_str()), 0);
   };
   write("up");
-  world.Start(std::string(kTop) + "[[pool]]\nid = \"a\"\nmembership = { source = \"file\", file = \"" + path +
-              "\" }\n" + "[[pool]]\nid = \"b\"\nmembership = { source = \"discovery\", address = \"" +
-              ToText(discovery.address()) + "\" }\n" + RoutesText("a") + RoutesText("b"));
+  harness.Start(std::string(kCommonConfig) +
+                "[[pool]]\nid = \"a\"\nmembership = { source = \"file\", file = \"" + path + "\" }\n" +
+                "[[pool]]\nid = \"b\"\nmembership = { source = \"discovery\", address = \"" +
+                ToText(discovery.address()) + "\" }\n" + RoutesText("a") + RoutesText("b"));
   // The second pool's list says that both hosts are up, and does not change during the test.
   discovery.serve = [&, revision = 0](const Peer::ReceivedRequest& request) mutable {
     if (revision++ > 0) return;
     request.Answer(200, List(1, true, {Member("n", shared.address()), Member("b", only_b.address())}).dump());
   };
-  ASSERT_TRUE(world.Until([&] { return world.gateway->pool("b")->has_hosts(); }));
-  const tcp::endpoint at = world.gateway->address("in");
-  Load to_a(world.io, at, 4, 1000000, [](std::size_t) { return Get("/a"); });
-  Load to_b(world.io, at, 4, 1000000, [](std::size_t) { return Get("/b"); });
+  ASSERT_TRUE(harness.Until([&] { return harness.gateway->pool("b")->has_hosts(); }));
+  const tcp::endpoint at = harness.gateway->address("in");
+  Load to_a(harness.io, at, 4, 1000000, [](std::size_t) { return Get("/a"); });
+  Load to_b(harness.io, at, 4, 1000000, [](std::size_t) { return Get("/b"); });
   const auto from = [&](char pool) {
     return std::count_if(
         shared.requests.begin(), shared.requests.end(),
         [&](const Peer::ReceivedRequest& request) { return request.http.target()[1] == pool; });
   };
-  ASSERT_TRUE(world.Until([&] { return from('a') > 20 && from('b') > 20; }));
+  ASSERT_TRUE(harness.Until([&] { return from('a') > 20 && from('b') > 20; }));
   write("draining");
-  ASSERT_TRUE(world.Until([&] { return !world.gateway->nodes().drains().empty(); }));
-  const Millis drained_at = world.gateway->nodes().drains().at("n").since;
+  ASSERT_TRUE(harness.Until([&] { return !harness.gateway->nodes().drains().empty(); }));
+  const Millis drained_at = harness.gateway->nodes().drains().at("n").since;
   EXPECT_LE(drained_at, gateway::Now());
-  EXPECT_EQ(world.gateway->nodes().PoolsOf("n").size(), 2u);
+  EXPECT_EQ(harness.gateway->nodes().PoolsOf("n").size(), 2u);
   // Requests sent before the drain may still be in transit; after they have arrived no more may come. Both
   // pools continue to serve.
-  ASSERT_TRUE(world.Until([&] { return gateway::Now() > drained_at + 500; }));
+  ASSERT_TRUE(harness.Until([&] { return gateway::Now() > drained_at + 500; }));
   const std::size_t after = shared.requests.size(), served = to_a.served() + to_b.served();
-  ASSERT_TRUE(world.Until([&] { return to_a.served() + to_b.served() > served + 500; }));
+  ASSERT_TRUE(harness.Until([&] { return to_a.served() + to_b.served() > served + 500; }));
   EXPECT_EQ(shared.requests.size(), after);
   EXPECT_EQ(to_a.served() + to_b.served(), to_a.Total() + to_b.Total());
   std::remove(path.c_str());
@@ -450,13 +452,13 @@
 
 // Guards requests in progress against reloads: under load, a new file every 50 ms, every second one invalid.
 TEST(Services, ReloadsEvery50MsUnderLoadLoseNoRequest) {
-  World world;
-  const auto one = world.Host(HostFailure::kNone, "one").address(),
-             two = world.Host(HostFailure::kNone, "two").address();
+  GatewayHarness harness;
+  const auto one = harness.Host(HostFailure::kNone, "one").address(),
+             two = harness.Host(HostFailure::kNone, "two").address();
   const auto text = [&](int round) {
     // Pool "one" changes with each valid file, pool "two" never; "extra" and its listener are added and
     // removed.
-    std::string file = std::string(kTop) +
+    std::string file = std::string(kCommonConfig) +
                        PoolText("one", {one}, "attempts = " + std::to_string(1 + round % 4) + "\n") +
                        PoolText("two", {two});
     if (round % 3 == 0)
@@ -464,15 +466,15 @@
               "[[listener]]\nid = \"more\"\naddress = \"127.0.0.1:0\"\n";
     return file + RoutesText("one") + RoutesText("two");
   };
-  world.Start(text(0));
-  const auto kept = world.gateway->pool("two");
-  const auto changed = world.gateway->pool("one");
-  const tcp::endpoint at = world.gateway->address("in");
-  Load to_one(world.io, at, 8, 1000000,
+  harness.Start(text(0));
+  const auto kept = harness.gateway->pool("two");
+  const auto changed = harness.gateway->pool("one");
+  const tcp::endpoint at = harness.gateway->address("in");
+  Load to_one(harness.io, at, 8, 1000000,
               [](std::size_t i) { return i % 2 == 0 ? Get("/one") : Post("/one", "x"); });
-  Load to_two(world.io, at, 8, 1000000, [](std::size_t) { return Get("/two"); });
+  Load to_two(harness.io, at, 8, 1000000, [](std::size_t) { return Get("/two"); });
   int rounds = 0, refused = 0;
-  asio::steady_timer timer(world.io);
+  asio::steady_timer timer(harness.io);
   std::function<void()> reload = [&] {
     timer.expires_after(std::chrono::milliseconds(50));
     timer.async_wait([&](error_code ec) {
@@ -483,39 +485,39 @@
             good.substr(0, good.size() - 20 - static_cast<std::size_t>(rounds)), "f", "");
         refused += broken.services == nullptr;
       } else {
-        const auto error = world.gateway->Reload(Parsed(text(rounds)));
+        const auto error = harness.gateway->Reload(Parsed(text(rounds)));
         EXPECT_FALSE(error) << *error;
       }
       reload();
     });
   };
   reload();
-  ASSERT_TRUE(world.Until([&] { return rounds > 30; }));
+  ASSERT_TRUE(harness.Until([&] { return rounds > 30; }));
   EXPECT_EQ(refused, 15);
   EXPECT_GT(to_one.served(), 100u);
   EXPECT_EQ(to_one.served(), to_one.Total());
   EXPECT_EQ(to_two.served(), to_two.Total());
-  EXPECT_EQ(world.gateway->pool("two"), kept);  // the unchanged pool keeps its state
-  EXPECT_NE(world.gateway->pool("one"), changed);
-  EXPECT_TRUE(world.Until([&] { return world.gateway->draining_pools() <= 1; }));
+  EXPECT_EQ(harness.gateway->pool("two"), kept);  // the unchanged pool keeps its state
+  EXPECT_NE(harness.gateway->pool("one"), changed);
+  EXPECT_TRUE(harness.Until([&] { return harness.gateway->draining_pools() <= 1; }));
 }
 
 // Guards unsafe requests in a pool that a reload removes: each must run once and be answered once.
 TEST(Services, ARemovedPoolEndsItsUnsafeRequestsExactlyOnce) {
-  World world;
-  Peer& old = world.Host(HostFailure::kHang);
-  Peer& rest = world.Host(HostFailure::kNone, "rest");
+  GatewayHarness harness;
+  Peer& old = harness.Host(HostFailure::kHang);
+  Peer& rest = harness.Host(HostFailure::kNone, "rest");
   const std::string kept = PoolText("rest", {rest.address()}) + RoutesText("rest");
-  world.Start(std::string(kTop) + PoolText("old", {old.address()}) + kept + RoutesText("old"));
+  harness.Start(std::string(kCommonConfig) + PoolText("old", {old.address()}) + kept + RoutesText("old"));
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 6; ++i) {
-    clients.push_back(world.Connect());
+    clients.push_back(harness.Connect());
     clients.back()->Send(Post("/old", "swap " + std::to_string(i)));
   }
-  ASSERT_TRUE(world.Until([&] { return old.requests.size() == 6; }));
-  ASSERT_FALSE(world.gateway->Reload(Parsed(std::string(kTop) + kept)));
-  EXPECT_EQ(world.gateway->draining_pools(), 1u);
-  const auto late = world.Connect();
+  ASSERT_TRUE(harness.Until([&] { return old.requests.size() == 6; }));
+  ASSERT_FALSE(harness.gateway->Reload(Parsed(std::string(kCommonConfig) + kept)));
+  EXPECT_EQ(harness.gateway->draining_pools(), 1u);
+  const auto late = harness.Connect();
   late->Send(Post("/old", "late"));
   EXPECT_EQ(late->Await().result_int(), 404u);
   old.requests[0].connection->Reset();  // may have run: a failure, without a retry
@@ -524,10 +526,10 @@
   std::map<unsigned, int> statuses;
   for (const auto& client : clients) ++statuses[client->Await().result_int()];
   EXPECT_EQ(statuses, (std::map<unsigned, int>{{200, 4}, {500, 1}, {502, 1}}));
-  ASSERT_TRUE(world.Until([&] { return world.gateway->draining_pools() == 0; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.gateway->draining_pools() == 0; }));
   EXPECT_EQ(old.requests.size(), 6u);
   for (const auto& client : clients) EXPECT_EQ(client->answers().size(), 1u);
-  const auto next = world.Connect();
+  const auto next = harness.Connect();
   next->Send(Get("/rest"));
   EXPECT_EQ(next->Await().body(), "rest");
 }
@@ -535,21 +537,21 @@
 // Guards a running gateway against a partially applied file: if one listener can't be opened, nothing may
 // change.
 TEST(Services, AReloadThatCanNotListenChangesNothing) {
-  World world;
-  const auto one = world.Host(HostFailure::kNone, "one").address();
-  world.Start(std::string(kTop) + PoolText("one", {one}) + RoutesText("one"));
-  const auto before = world.gateway->pool("one");
-  tcp::acceptor occupied(world.io, Loopback());
+  GatewayHarness harness;
+  const auto one = harness.Host(HostFailure::kNone, "one").address();
+  harness.Start(std::string(kCommonConfig) + PoolText("one", {one}) + RoutesText("one"));
+  const auto before = harness.gateway->pool("one");
+  tcp::acceptor occupied(harness.io, Loopback());
   const std::string text =
-      std::string(kTop) +
+      std::string(kCommonConfig) +
       "[[listener]]\nid = \"free\"\naddress = \"127.0.0.1:0\"\n[[listener]]\nid = \"taken\"\naddress = \"" +
       ToText(occupied.local_endpoint()) + "\"\n" + PoolText("two", {one}) + RoutesText("two");
-  const auto error = world.gateway->Reload(Parsed(text));
+  const auto error = harness.gateway->Reload(Parsed(text));
   ASSERT_TRUE(error);
   EXPECT_NE(error->find("listener taken"), std::string::npos) << *error;
-  EXPECT_EQ(world.gateway->pool("one"), before);
-  EXPECT_EQ(world.gateway->address("free"), tcp::endpoint());
-  const auto client = world.Connect();
+  EXPECT_EQ(harness.gateway->pool("one"), before);
+  EXPECT_EQ(harness.gateway->address("free"), tcp::endpoint());
+  const auto client = harness.Connect();
   client->Send(Get("/one"));
   EXPECT_EQ(client->Await().body(), "one");
 }
