--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -103,7 +103,7 @@
                bool is_visible) {
   const routing::Route& match = rule.match;
   struct Path {
-    bool prefix;
+    bool is_prefix;
     std::string text;
   };
   std::vector<Path> paths;
