--- a/src/apps/forkwick.cpp
+++ b/src/apps/forkwick.cpp
@@ -59,15 +59,16 @@
 }
 
 int RunServices(const std::string& path) {
-  const auto first = config::LoadServices(path);
-  if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
+  const auto initial = config::LoadServices(path);
+  if (!initial.services) return PrintIssues(initial.issues, stderr), kFailed;
   asio::io_context io(1);
-  gw::ServiceGateway gateway(io, first.services, RandomSeed());
-  std::unique_ptr<gw::FileWatcher> watch;
+  gw::ServiceGateway gateway(io, initial.services, RandomSeed());
+  std::unique_ptr<gw::FileWatcher> watcher;
   std::function<void()> reload;
   const auto update_watcher = [&](const config::Services& services) {
-    if (services.watches_file == (watch != nullptr)) return;
-    watch = services.watches_file ? std::make_unique<gw::FileWatcher>(io, path, [&] { reload(); }) : nullptr;
+    if (services.watches_file == (watcher != nullptr)) return;
+    watcher =
+        services.watches_file ? std::make_unique<gw::FileWatcher>(io, path, [&] { reload(); }) : nullptr;
   };
   reload = [&] {
     const auto next = config::LoadServices(path);
@@ -83,11 +84,11 @@
     // The watcher may be the caller, so it is replaced later, from the loop.
     asio::post(io, [&, services = next.services] { update_watcher(*services); });
   };
-  update_watcher(*first.services);
-  for (const config::Listener& listener : first.services->listeners) {
-    const auto at = gateway.address(listener.id);
+  update_watcher(*initial.services);
+  for (const config::Listener& listener : initial.services->listeners) {
+    const auto address = gateway.address(listener.id);
     std::fprintf(stderr, "forkwick: listener %s at %s:%u\n", listener.id.c_str(),
-                 at.address().to_string().c_str(), at.port());
+                 address.address().to_string().c_str(), address.port());
   }
   RunLoop(
       io, [&](auto done) { gateway.Stop(std::move(done)); }, reload);
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -58,7 +58,7 @@
 class ControlService {
  public:
   ControlService(asio::io_context& io, std::shared_ptr<const config::Services> services)
-      : io_(io), drains_(services->control.drains_file) {
+      : io_(io), drain_file_(services->control.drains_file) {
     auto options = MakeServerOptions(services->control);
     options.on_tick = [this](xds::StreamHub&, Millis now) {
       return control_ ? control_->Tick(now) : xds::ControlPlane::OutgoingMessages();
@@ -67,16 +67,16 @@
                                     Millis now) {
       if (control_) control_->AddLoadReports(proxy, reports, now);
     };
-    const auto drained = drains_.Read();  // before any proxy is served
+    const auto drained = drain_file_.Read();  // before any proxy is served
     server_ = std::make_unique<xds::ControlServer>(std::move(options));
     server_->RunOnDecisionThread([&](xds::StreamHub& hub, Millis now) {
       control_ = std::make_unique<xds::ControlPlane>(hub, RandomSeed(), LogLine);
       control_->RestoreDrains(drained);
       return control_->Configure(services, now);
     });
-    operators_ = std::make_unique<xds::OperatorServer>(
+    operator_server_ = std::make_unique<xds::OperatorServer>(
         services->control.socket, *server_, control_,
-        [this](const std::set<std::string>& nodes) { drains_.Write(nodes); });
+        [this](const std::set<std::string>& nodes) { drain_file_.Write(nodes); });
     UpdateSources(*services);
     services_ = std::move(services);
   }
@@ -116,10 +116,10 @@
                 [&](xds::StreamHub&, Millis now) { return control_->UpdateMembership(id, list, now); });
           },
           [] {}, [id = pool.id](const std::string& text) { LogLine("pool " + id + ": " + text); }};
-      PoolSource& to = next[pool.id];
-      to.definition = pool.definition;
-      to.source = gw::MakeHostSource(io_, pool.membership, std::move(handlers));
-      started.push_back(to.source.get());
+      PoolSource& pool_source = next[pool.id];
+      pool_source.definition = pool.definition;
+      pool_source.source = gw::MakeHostSource(io_, pool.membership, std::move(handlers));
+      started.push_back(pool_source.source.get());
     }
     sources_ = std::move(next);
     for (gw::HostSource* const source : started) source->Start();
@@ -131,20 +131,20 @@
   };
 
   asio::io_context& io_;
-  xds::DrainFile drains_;
+  xds::DrainFile drain_file_;
   std::shared_ptr<const config::Services> services_;
   std::unique_ptr<xds::ControlPlane> control_;  // used by the decision thread, so it must outlive server_
   std::unique_ptr<xds::ControlServer> server_;
-  std::unique_ptr<xds::OperatorServer> operators_;
+  std::unique_ptr<xds::OperatorServer> operator_server_;
   std::map<std::string, PoolSource> sources_;
 };
 
 int Run(const std::string& path) {
-  const auto first = config::LoadServices(path);
-  if (!first.services) return PrintIssues(first.issues, stderr), kFailed;
+  const auto initial = config::LoadServices(path);
+  if (!initial.services) return PrintIssues(initial.issues, stderr), kFailed;
   asio::io_context io(1);
-  ControlService service(io, first.services);
-  std::unique_ptr<gw::FileWatcher> watch;
+  ControlService service(io, initial.services);
+  std::unique_ptr<gw::FileWatcher> watcher;
   const auto reload = [&] {
     const auto next = config::LoadServices(path);
     if (!next.services) {
@@ -154,8 +154,8 @@
     service.Reload(next.services);
     LogLine("reloaded " + path);
   };
-  if (first.services->watches_file) watch = std::make_unique<gw::FileWatcher>(io, path, reload);
-  const std::string& address = first.services->control.address;
+  if (initial.services->watches_file) watcher = std::make_unique<gw::FileWatcher>(io, path, reload);
+  const std::string& address = initial.services->control.address;
   LogLine("serves xDS at " + address.substr(0, address.rfind(':') + 1) + std::to_string(service.port()));
   RunLoop(
       io, [](auto done) { done(); }, reload);
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -28,7 +28,7 @@
   return out;
 }
 
-bool IEquals(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
@@ -40,7 +40,7 @@
 
 std::optional<std::string_view> FindHeader(const Request& request, std::string_view name) {
   for (const auto& [key, value] : request.headers) {
-    if (IEquals(key, name)) return value;
+    if (EqualsIgnoreCase(key, name)) return value;
   }
   return std::nullopt;
 }
@@ -76,7 +76,7 @@
   };
   const auto implied = [&](const HeaderCondition& wanted) {
     return std::any_of(inner.headers.begin(), inner.headers.end(), [&](const HeaderCondition& has) {
-      if (!IEquals(has.name, wanted.name)) return false;
+      if (!EqualsIgnoreCase(has.name, wanted.name)) return false;
       if (wanted.kind == HeaderCondition::Kind::kPresent) return has.kind != HeaderCondition::Kind::kAbsent;
       return has.kind == wanted.kind && has.value == wanted.value;
     });
@@ -127,7 +127,7 @@
 }
 
 RouteTable::RouteTable(std::vector<Route> routes) : routes_(std::move(routes)) {
-  std::uint32_t hosts = 1;
+  std::uint32_t next_host_id = 1;
   std::size_t patterns = 1, pairs = 0;
   for (const Route& route : routes_) {
     patterns += route.hosts.size();
@@ -141,18 +141,18 @@
   exact_hosts_.index.slots = slots_for(patterns);
   suffix_hosts_.index.slots = slots_for(patterns);
   bucket_index_.slots = slots_for(pairs);
-  const auto id_of = [&hosts, this](const std::string& pattern) {
+  const auto find_or_add_host = [&next_host_id, this](const std::string& pattern) {
     const bool is_suffix = pattern.starts_with("*.");
     HostPatternIndex& host_index = is_suffix ? suffix_hosts_ : exact_hosts_;
     const std::string name = is_suffix ? pattern.substr(2) : pattern;
     if (const std::uint32_t known = host_index.Find(name)) return known;
     host_index.patterns.push_back(name);
-    host_index.ids.push_back(hosts);
+    host_index.ids.push_back(next_host_id);
     host_index.index.Add(std::hash<std::string_view>()(name),
                          static_cast<std::uint32_t>(host_index.patterns.size()));
-    return hosts++;
+    return next_host_id++;
   };
-  const auto append = [](RouteIndexes& indexes, std::uint32_t route_index) {
+  const auto append_once = [](RouteIndexes& indexes, std::uint32_t route_index) {
     if (indexes.empty() || indexes.back() != route_index) indexes.push_back(route_index);
   };
   PathOffsets offsets;
@@ -165,41 +165,42 @@
     }
     has_other_conditions_.push_back(!route.methods.empty() || !route.headers.empty() ||
                                     !route.classes.empty() || !route.listeners.empty());
-    std::vector<std::uint32_t> ids;
-    for (const std::string& pattern : route.hosts) ids.push_back(id_of(pattern));
-    if (ids.empty()) ids.push_back(0);
+    std::vector<std::uint32_t> host_ids;
+    for (const std::string& pattern : route.hosts) host_ids.push_back(find_or_add_host(pattern));
+    if (host_ids.empty()) host_ids.push_back(0);
     std::vector<PathCondition> paths = route.paths;
     if (paths.empty()) paths.push_back({true, ""});
     const auto route_index = static_cast<std::uint32_t>(i);
     const HeaderCondition* const equals = FirstEqualsCondition(route);
-    for (const std::uint32_t host : ids) {
+    for (const std::uint32_t host_id : host_ids) {
       for (const PathCondition& path : paths) {
-        const std::uint32_t at = AddBucket(host, path.is_prefix, path.text, offsets);
+        const std::uint32_t bucket_index = AddBucket(host_id, path.is_prefix, path.text, offsets);
         scanned.resize(buckets_.size());
         if (route.classes.empty() && equals == nullptr) {
-          append(scanned[at], route_index);
+          append_once(scanned[bucket_index], route_index);
           continue;
         }
-        if (buckets_[at].condition_index == 0) {
+        if (buckets_[bucket_index].condition_index == 0) {
           condition_indexes_.emplace_back();
-          buckets_[at].condition_index = static_cast<std::uint32_t>(condition_indexes_.size());
+          buckets_[bucket_index].condition_index = static_cast<std::uint32_t>(condition_indexes_.size());
         }
-        ConditionIndex& conditions = condition_indexes_[buckets_[at].condition_index - 1];
+        ConditionIndex& conditions = condition_indexes_[buckets_[bucket_index].condition_index - 1];
         if (!route.classes.empty()) {
-          for (const std::string& name : route.classes) append(conditions.by_class[name], route_index);
+          for (const std::string& name : route.classes) append_once(conditions.by_class[name], route_index);
           continue;
         }
-        const auto found = std::find_if(conditions.by_header.begin(), conditions.by_header.end(),
-                                        [&](const HeaderIndex& by) { return by.name == equals->name; });
-        HeaderIndex& by = found != conditions.by_header.end()
-                              ? *found
-                              : conditions.by_header.emplace_back(HeaderIndex{equals->name, {}});
-        append(by.values[equals->value], route_index);
+        const auto found =
+            std::find_if(conditions.by_header.begin(), conditions.by_header.end(),
+                         [&](const HeaderIndex& header_index) { return header_index.name == equals->name; });
+        HeaderIndex& header_index = found != conditions.by_header.end()
+                                        ? *found
+                                        : conditions.by_header.emplace_back(HeaderIndex{equals->name, {}});
+        append_once(header_index.values[equals->value], route_index);
       }
     }
   }
-  max_prefix_depth_.resize(hosts);
-  has_empty_prefix_.resize(hosts);
+  max_prefix_depth_.resize(next_host_id);
+  has_empty_prefix_.resize(next_host_id);
   for (std::size_t i = 0; i < buckets_.size(); ++i) {
     Bucket& bucket = buckets_[i];
     bucket.scan_begin = static_cast<std::uint32_t>(scanned_routes_.size());
@@ -246,30 +247,30 @@
 template <typename Visit>
 void RouteTable::ForEachBucket(std::string_view host, std::string_view path, bool with_exact,
                                Visit visit) const {
-  const auto probe = [&](std::uint32_t id) {
-    std::uint64_t hash = HashBegin(id);
-    if (has_empty_prefix_[id]) {
-      if (const Bucket* const bucket = FindBucket(HashEnd(hash, true), id, true, {})) visit(*bucket);
+  const auto visit_host = [&](std::uint32_t host_id) {
+    std::uint64_t hash = HashBegin(host_id);
+    if (has_empty_prefix_[host_id]) {
+      if (const Bucket* const bucket = FindBucket(HashEnd(hash, true), host_id, true, {})) visit(*bucket);
     }
     std::uint32_t segments = 0;
     for (std::size_t i = 0; i < path.size(); ++i) {
       hash = HashByte(hash, path[i]);
       const bool is_segment_end = i + 1 == path.size() || path[i + 1] == '/';
-      if (!is_segment_end || segments >= max_prefix_depth_[id]) continue;
+      if (!is_segment_end || segments >= max_prefix_depth_[host_id]) continue;
       ++segments;
       if (path[i] == '/') continue;  // the path "/": a prefix has no trailing slash
-      if (const Bucket* const bucket = FindBucket(HashEnd(hash, true), id, true, path.substr(0, i + 1)))
+      if (const Bucket* const bucket = FindBucket(HashEnd(hash, true), host_id, true, path.substr(0, i + 1)))
         visit(*bucket);
     }
     if (!with_exact) return;
-    if (const Bucket* const bucket = FindBucket(HashEnd(hash, false), id, false, path)) visit(*bucket);
+    if (const Bucket* const bucket = FindBucket(HashEnd(hash, false), host_id, false, path)) visit(*bucket);
   };
-  probe(0);
-  if (const std::uint32_t id = exact_hosts_.Find(host)) probe(id);
+  visit_host(0);
+  if (const std::uint32_t host_id = exact_hosts_.Find(host)) visit_host(host_id);
   if (suffix_hosts_.patterns.empty()) return;
   for (std::size_t dot = host.find('.'); dot != std::string_view::npos; dot = host.find('.', dot + 1)) {
     if (dot == 0) continue;
-    if (const std::uint32_t id = suffix_hosts_.Find(host.substr(dot + 1))) probe(id);
+    if (const std::uint32_t host_id = suffix_hosts_.Find(host.substr(dot + 1))) visit_host(host_id);
   }
 }
 
@@ -299,8 +300,8 @@
     if (bucket.condition_index == 0) return;
     const ConditionIndex& conditions = condition_indexes_[bucket.condition_index - 1];
     if (!conditions.by_class.empty()) search_key(conditions.by_class, request.class_name);
-    for (const HeaderIndex& by : conditions.by_header) {
-      if (const auto value = FindHeader(request, by.name)) search_key(by.values, *value);
+    for (const HeaderIndex& header_index : conditions.by_header) {
+      if (const auto value = FindHeader(request, header_index.name)) search_key(header_index.values, *value);
     }
   });
   if (best == routes_.size()) return std::nullopt;
@@ -347,16 +348,16 @@
 
 std::optional<std::size_t> RouteTable::ShadowedBy(std::size_t i) const {
   const Route& route = routes_[i];
-  std::optional<std::size_t> last;
+  std::optional<std::size_t> last_covering;
   const std::vector<std::string> hosts = route.hosts.empty() ? std::vector<std::string>{""} : route.hosts;
   const std::vector<PathCondition> paths =
       route.paths.empty() ? std::vector<PathCondition>{{true, ""}} : route.paths;
   for (const std::string& host : hosts) {
     for (const PathCondition& path : paths) {
-      std::optional<std::size_t> cover;
+      std::optional<std::size_t> covering;
       const auto search = [&](const std::uint32_t* it, const std::uint32_t* end) {
-        for (; it != end && *it < i && (!cover || *it < *cover); ++it) {
-          if (Covers(routes_[*it], route)) cover = *it;
+        for (; it != end && *it < i && (!covering || *it < *covering); ++it) {
+          if (Covers(routes_[*it], route)) covering = *it;
         }
       };
       const auto search_key = [&](const auto& map, const std::string& key) {
@@ -369,20 +370,21 @@
         if (bucket.condition_index == 0) return;
         const ConditionIndex& conditions = condition_indexes_[bucket.condition_index - 1];
         if (!route.classes.empty()) search_key(conditions.by_class, route.classes[0]);
-        for (const HeaderIndex& by : conditions.by_header) {
+        for (const HeaderIndex& header_index : conditions.by_header) {
           for (const HeaderCondition& condition : route.headers) {
-            const bool same = condition.name == by.name && condition.kind == HeaderCondition::Kind::kEquals;
-            if (same) search_key(by.values, condition.value);
+            const bool is_same =
+                condition.name == header_index.name && condition.kind == HeaderCondition::Kind::kEquals;
+            if (is_same) search_key(header_index.values, condition.value);
           }
         }
       };
       // A pattern is looked up like a request's host and path: "*.x" finds the pattern itself and wider ones.
       ForEachBucket(host, path.text, !path.is_prefix, visit);
-      if (!cover) return std::nullopt;
-      last = last ? std::max(*last, *cover) : *cover;
+      if (!covering) return std::nullopt;
+      last_covering = last_covering ? std::max(*last_covering, *covering) : *covering;
     }
   }
-  return last;
+  return last_covering;
 }
 
 }  // namespace opalswitch::routing
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -143,7 +143,7 @@
   return true;
 }
 
-bool IEquals(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
     return (IsAlpha(x) ? x | 0x20 : x) == (IsAlpha(y) ? y | 0x20 : y);
   });
@@ -294,8 +294,8 @@
     return target;
   }
   const std::size_t colon = text.find("://");
-  const bool http = colon != std::string_view::npos && IEquals(text.substr(0, colon), "http");
-  if (!http) return error = "the request-target is neither a path nor an http URI", std::nullopt;
+  const bool is_http = colon != std::string_view::npos && EqualsIgnoreCase(text.substr(0, colon), "http");
+  if (!is_http) return error = "the request-target is neither a path nor an http URI", std::nullopt;
   target.form = Form::kAbsolute;
   const std::string_view rest = text.substr(colon + 3);
   const std::size_t end = std::min(rest.find_first_of("/?#"), rest.size());
