--- a/src/config/services.cpp
+++ b/src/config/services.cpp
@@ -22,12 +22,12 @@
 // Bodies are buffered whole.
 constexpr std::uint64_t kMaxConfigurableBodyBytes = 16 << 20;
 constexpr std::uint64_t kDefaultMaxBodyBytes = 64 << 10;
-constexpr double kDefaultLateWorth = 0.5;
+constexpr double kDefaultLateWorth = 0.5;  // of an answer after the aim, relative to one within it
 constexpr std::int64_t kDefaultMaxAttempts = 3;
 constexpr double kDefaultOverloadMultiple = 3;
 constexpr Millis kDefaultDialTimeoutMs = 250;
 constexpr Millis kDefaultIdleTimeoutMs = 15000;
-constexpr Millis kMaxRetryAfterMs = 30000;
+constexpr Millis kMaxRetryAfterMs = 30000;  // the largest Retry-After that clients get
 // Parts of process.descriptors that the pools may be guaranteed.
 constexpr double kGuaranteedDescriptorsFraction = 0.4;
 constexpr double kGuaranteedClientsFraction = 0.5;
@@ -91,6 +91,7 @@
   }
 
  private:
+  // Calls `read` for each table of an array of tables.
   template <typename ReadOne>
   void ReadEach(TableReader& top, const char* key, std::size_t max, ReadOne read) {
     const auto tables = top.Tables(key);
@@ -172,6 +173,7 @@
     services_.listeners.push_back(listener);
   }
 
+  // Reads a list of HTTP methods; empty = any.
   std::vector<std::string> ReadMethods(TableReader& reader) {
     auto methods = reader.Strings("methods");
     for (const std::string& method : methods) {
@@ -223,16 +225,19 @@
     services_.tenants.push_back(tenant);
   }
 
+  // The index of a class in services_.classes; -1 if there is none with this id.
   int ClassIndex(const std::string& id) const {
     for (std::size_t i = 0; i < services_.classes.size(); ++i) {
       if (services_.classes[i].settings.name == id) return static_cast<int>(i);
     }
     return -1;
   }
+  // For messages: the ids of the classes.
   std::string ClassNames() const {
     return FormatChoices(services_.classes, [](const ServiceClass& c) { return c.settings.name; });
   }
 
+  // Reads a table with `guaranteed` and `most`, as sizes in bytes or as counts.
   BudgetShare ReadBudgetShare(TableReader& reader, const char* key, bool is_bytes) {
     BudgetShare share;
     const toml::table* const table = reader.Table(key);
@@ -381,6 +386,7 @@
     services_.pools.push_back(std::move(pool));
   }
 
+  // Reads the pool's own effects of classes, which may only be stricter than those of the classes.
   void ReadEffects(TableReader& reader, const toml::table& table, Settings& settings) {
     TableReader effects_reader(table, reader.PathOf("effects"), issues_);
     for (const std::string& name : effects_reader.Keys()) {
@@ -408,6 +414,7 @@
     }
   }
 
+  // Reads the pool's own quotas of tenants.
   void ReadShares(TableReader& reader, const toml::table& table, Settings& settings) {
     TableReader shares_reader(table, reader.PathOf("shares"), issues_);
     for (const std::string& name : shares_reader.Keys()) {
@@ -535,6 +542,8 @@
     services_.routes.push_back(std::move(rule));
   }
 
+  // Reads the pool and the class that a route's requests get, and checks the route's methods against the
+  // class.
   void ReadRouteTarget(TableReader& reader, RouteRule& rule) {
     const auto pool = reader.String("pool");
     const auto found = std::find_if(services_.pools.begin(), services_.pools.end(),
@@ -610,9 +619,9 @@
   const std::string folder_;
   int gateways_ = 1, index_ = -1;
   std::string zone_;
-  std::map<std::string, unsigned> lines_by_id_;
+  std::map<std::string, unsigned> lines_by_id_;  // keys are kind and id, such as "pool baskets"
   std::map<std::string, std::string> node_ids_by_address_;
-  std::vector<std::pair<toml::source_region, std::string>> route_locations_;
+  std::vector<std::pair<toml::source_region, std::string>> route_locations_;  // position and path, by route
 };
 
 }  // namespace
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -67,7 +67,7 @@
 }
 
 // Whether every request that meets the conditions of `inner` meets those of `outer` too. Hosts and paths are
-// not compared.
+// not compared. May give false for conditions that are equivalent but written differently.
 bool Covers(const Route& outer, const Route& inner) {
   const auto all_in = [](const auto& wide, const auto& narrow) {
     if (wide.empty()) return true;
@@ -133,6 +133,7 @@
     patterns += route.hosts.size();
     pairs += std::max<std::size_t>(1, route.hosts.size()) * std::max<std::size_t>(1, route.paths.size());
   }
+  // Leaves about a third of the slots free, so that probe sequences are short.
   const auto slots_for = [](std::size_t items) {
     std::size_t slots = 16;
     while (slots < items * 3 / 2) slots *= 2;
@@ -141,6 +142,7 @@
   exact_hosts_.index.slots = slots_for(patterns);
   suffix_hosts_.index.slots = slots_for(patterns);
   bucket_index_.slots = slots_for(pairs);
+  // Returns the id of a host pattern, a new one if it is not known yet.
   const auto find_or_add_host = [&next_host_id, this](const std::string& pattern) {
     const bool is_suffix = pattern.starts_with("*.");
     HostPatternIndex& host_index = is_suffix ? suffix_hosts_ : exact_hosts_;
@@ -152,6 +154,7 @@
                          static_cast<std::uint32_t>(host_index.patterns.size()));
     return next_host_id++;
   };
+  // Routes are added in their order, so a repeated index would be the last one.
   const auto append_once = [](RouteIndexes& indexes, std::uint32_t route_index) {
     if (indexes.empty() || indexes.back() != route_index) indexes.push_back(route_index);
   };
@@ -247,6 +250,7 @@
 template <typename Visit>
 void RouteTable::ForEachBucket(std::string_view host, std::string_view path, bool with_exact,
                                Visit visit) const {
+  // Visits the buckets of one host pattern whose path patterns match.
   const auto visit_host = [&](std::uint32_t host_id) {
     std::uint64_t hash = HashBegin(host_id);
     if (has_empty_prefix_[host_id]) {
@@ -269,7 +273,7 @@
   if (const std::uint32_t host_id = exact_hosts_.Find(host)) visit_host(host_id);
   if (suffix_hosts_.patterns.empty()) return;
   for (std::size_t dot = host.find('.'); dot != std::string_view::npos; dot = host.find('.', dot + 1)) {
-    if (dot == 0) continue;
+    if (dot == 0) continue;  // "*.x" does not match ".x"
     if (const std::uint32_t host_id = suffix_hosts_.Find(host.substr(dot + 1))) visit_host(host_id);
   }
 }
@@ -286,6 +290,7 @@
 
 std::optional<std::size_t> RouteTable::Match(const Request& request) const {
   std::size_t best = routes_.size();
+  // Lists of routes are ascending, so a search ends at the best match so far.
   const auto search = [&](const std::uint32_t* it, const std::uint32_t* end) {
     for (; it != end && *it < best; ++it) {
       if (MeetsOtherConditions(*it, request)) best = *it;
--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -53,6 +53,7 @@
   out += kHex[byte & 15];
 }
 
+// A character for an error text; the code of its byte if it can't be printed.
 std::string FormatChar(char c) {
   if (c >= ' ' && c <= '~') return std::string("'") + c + "'";
   std::string code = "byte ";
@@ -82,6 +83,7 @@
   return true;
 }
 
+// Decodes all complete percent-encodings, and leaves others as they are.
 std::string PercentDecode(std::string_view text) {
   std::string out;
   out.reserve(text.size());
@@ -117,6 +119,7 @@
   return out;
 }
 
+// RFC 3986 section 3.4.
 bool ValidateQuery(std::string_view query, std::string& error) {
   for (std::size_t i = 0; i < query.size(); ++i) {
     const char c = query[i];
@@ -131,6 +134,7 @@
   return true;
 }
 
+// Sets the target's path and query from origin form ("/path?query").
 bool ParsePathAndQuery(std::string_view text, Target& target, std::string& error) {
   const std::size_t query_begin = std::min(text.find('?'), text.size());
   target.query = text.substr(query_begin);
