--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -2,6 +2,9 @@
 // may wait on the server, when it counts as timed out, when the next call is made, which host lists are
 // accepted, and what is logged. Performs no I/O and reads no clock: the caller (discovery.hpp) makes the
 // calls and reports their results. Not thread-safe.
+//
+// Discovery serves calls one after another, so calls queue there when many gateways call at once, for example
+// after a change that ends all of their watches. The schedule estimates that queue delay and allows for it.
 #ifndef OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 #define OPALSWITCH_MEMBERSHIP_WATCH_SCHEDULE_HPP_
 
@@ -47,7 +50,7 @@
   kClosed,         // the connection ended before the first byte of a response, as when discovery shuts down
   kTruncated,      // the connection ended, or the time ran out, within a response
   kErrorStatus,    // an HTTP status other than 200
-  kMalformed,      // the body is no valid host list
+  kMalformed,      // the body is not a valid host list
   kStaleRevision   // the list is older than the one known
 };
 
@@ -61,7 +64,8 @@
   // together soon call at different times.
   std::string BeginCall(double uniform);
 
-  // Time-out from the end of the request to the response's header.
+  // Time-out from sending the request to the response's header: the wait, plus an allowance for queueing and
+  // for earlier time-outs in a row.
   Millis ResponseTimeout() const;
 
   // Delay between a response and the next call: random, up to twice the recent queue delay. Discovery serves
@@ -98,7 +102,8 @@
   std::optional<std::int64_t> revision() const { return revision_; }
 
  private:
-  void UpdateQueueDelay(Millis elapsed);
+  // Adds a sample to the EWMA; negative ones count as 0.
+  void UpdateQueueDelay(Millis sample);
 
   const WatchTimes times_;
   std::optional<std::int64_t> revision_;
