--- a/src/routing/target.cpp
+++ b/src/routing/target.cpp
@@ -53,6 +53,7 @@
   out += kHex[byte & 15];
 }
 
+// A character for an error text; the code of its byte if it can't be printed.
 std::string FormatChar(char c) {
   if (c >= ' ' && c <= '~') return std::string("'") + c + "'";
   std::string code = "byte ";
@@ -82,6 +83,7 @@
   return true;
 }
 
+// Decodes all complete percent-encodings, and leaves others as they are.
 std::string PercentDecode(std::string_view text) {
   std::string out;
   out.reserve(text.size());
@@ -117,6 +119,7 @@
   return out;
 }
 
+// RFC 3986 section 3.4.
 bool ValidateQuery(std::string_view query, std::string& error) {
   for (std::size_t i = 0; i < query.size(); ++i) {
     const char c = query[i];
@@ -131,6 +134,7 @@
   return true;
 }
 
+// Sets the target's path and query from origin form ("/path?query").
 bool ParsePathAndQuery(std::string_view text, Target& target, std::string& error) {
   const std::size_t query_begin = std::min(text.find('?'), text.size());
   target.query = text.substr(query_begin);
@@ -143,7 +147,7 @@
   return true;
 }
 
-bool IEquals(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
     return (IsAlpha(x) ? x | 0x20 : x) == (IsAlpha(y) ? y | 0x20 : y);
   });
@@ -294,8 +298,8 @@
     return target;
   }
   const std::size_t colon = text.find("://");
-  const bool http = colon != std::string_view::npos && IEquals(text.substr(0, colon), "http");
-  if (!http) return error = "the request-target is neither a path nor an http URI", std::nullopt;
+  const bool is_http = colon != std::string_view::npos && EqualsIgnoreCase(text.substr(0, colon), "http");
+  if (!is_http) return error = "the request-target is neither a path nor an http URI", std::nullopt;
   target.form = Form::kAbsolute;
   const std::string_view rest = text.substr(colon + 3);
   const std::size_t end = std::min(rest.find_first_of("/?#"), rest.size());
