--- a/include/opalswitch/policy.hpp
+++ b/include/opalswitch/policy.hpp
@@ -135,10 +135,10 @@
 struct Server {
   std::string id;    // stays the same when the server process restarts
   std::string zone;  // availability zone
-  std::string kind;  // hardware or software variant; servers of a kind share latency statistics
+  std::string kind;  // servers of the same kind share latency statistics
   std::string cell;  // unit of deduplication, see DeduplicationScope
   ServerState state = ServerState::kUp;
-  double weight = 1;      // relative capacity; values that are not above 0 count as 1
+  double weight = 1;      // relative capacity; a value that is not finite and above 0 counts as 1
   Millis started_at = 0;  // start time of the server process; 0 = long ago
 };
 
@@ -159,11 +159,11 @@
   kUnknownClass,          // Request::class_name is not in Settings::classes
   kInsufficientTime,      // on arrival, too little time was left to answer it, or to answer it with any worth
   kQueueFull,             // the queue of its class is full
-  kOverQuota,             // beyond its tenant's quota, and displaced by requests within quota
+  kOverQuota,             // beyond its tenant's quota, and refused in favor of requests within quota
   kRateLimited,           // no token became available within the maximum queueing time
   kConcurrencyLimited,    // no server below its concurrency limit became available within that time
   kNoHealthyServer,       // as kConcurrencyLimited, but there is no server that may be sent requests
-  kNoConnection,          // Settings::max_in_flight was reached throughout that time
+  kNoConnection,          // no connection became free within that time (Settings::max_in_flight)
   kMayHaveRun,            // an attempt that may have run failed, and the class must not run twice
   kSlowResponse,          // an attempt timed out on a server that still answers other requests
   kNoTimeForRetry,        // an attempt failed, and a retry could not be answered in time
@@ -213,12 +213,14 @@
 // The Policy's assessment of a server, for callers that pass it on to proxies instead of sending requests.
 struct ServerStatus {
   std::string server;
-  // Load-balancing weight relative to the other servers: the configured weight, times the fraction of its
-  // capacity that the server has while it warms up, times the median latency over its own, which is clamped.
+  // Load-balancing weight relative to the other servers: Server::weight, times the fraction of its capacity
+  // that the server has while it warms up, times the clamped ratio of the median latency to the server's
+  // latency.
   double weight = 0;
   bool ejected = false;  // excluded by outlier detection because of failures
 };
 
+// The state machine; see the head of this file.
 class Policy {
  public:
   // Throws std::invalid_argument, whose text starts with the field's name, if the settings are invalid.
@@ -227,9 +229,9 @@
   Policy(Policy&&) noexcept;
   Policy& operator=(Policy&&) noexcept;
 
-  // Handles one event at time `now` and appends the resulting actions to `actions`, which is not cleared. A
-  // `now` before that of an earlier event counts as the latter. No request is sent before the first
-  // MembershipUpdate.
+  // Handles one event at time `now` and appends the resulting actions to `actions`, which is not cleared.
+  // Times must not go backwards; an earlier one is treated as the latest one so far. No request is sent
+  // before the first MembershipUpdate.
   void Handle(Millis now, const Event& event, std::vector<Action>& actions);
 
   // The servers that are up, ordered by id, as of the last event.
--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -69,6 +69,7 @@
   void UpdateServerIndex(TrackedServer& server) {
     server_index_.UpdateServer(server, now_, server.warm_up_started_at + settings_.warm_up_time);
   }
+  // Orders the servers that are up for UpdateSubset, and clears in_subset.
   void BuildRing();
   // Updates the subset and the index. `changed`: the only server that has changed; null if any may have.
   void UpdateSubset(TrackedServer* changed = nullptr);
@@ -181,8 +182,9 @@
   void HandleEvent(const Request& event);
   // Adds the request to its class's queue, or refuses it or a surplus request if the queue is full.
   void EnqueueOrRefuse(ActiveRequest& request);
-  // When the request is refused if it is still queued.
+  // The time at which the request gets its final answer if it is still queued.
   Millis QueueDeadline(const ActiveRequest& request) const;
+  // Sends the final answer to queued requests past their QueueDeadline.
   void ExpireQueuedRequests();
   // Without a free connection the gateway could not send, which would waste a token and an attempt.
   bool HasFreeConnection() const {
@@ -192,10 +194,12 @@
   void ReleaseQueuedRequests();
 
   // --- attempts.cpp
+  // Emits a Send for the request, and takes a token and send credit for it.
   void SendAttempt(ActiveRequest& request, TrackedServer& server);
   void HandleEvent(Outcome outcome);
   // Adds a client's cost estimate to the mean.
   void RecordEstimatedCost(Millis cost);
+  // Adds a latency sample to the means of the class and of all classes.
   void RecordClassLatency(ClassState& class_state, Millis latency);
   // After a failed attempt: queues a retry, or sends the final answer.
   void RetryOrAnswer(ActiveRequest& request, Result result);
