--- a/src/gateway/descriptors.cpp
+++ b/src/gateway/descriptors.cpp
@@ -14,7 +14,7 @@
 constexpr double kHostDescriptorFraction = 0.45;
 // Of the configured descriptors: above it idle client connections are closed. Below the third of them that
 // clients may hold at most.
-constexpr double kClientSoftLimitFraction = 0.3;
+constexpr double kIdleEvictionFraction = 0.3;
 // Of the memory. Each body is held twice while it is forwarded.
 constexpr double kBodyMemoryFraction = 0.15;
 
@@ -41,7 +41,7 @@
   const std::size_t usable = UsableDescriptors(configured), hosts = HostDescriptorLimit(configured);
   limits.max_connections = usable > hosts ? usable - hosts : 1;
   limits.idle_eviction_threshold =
-      static_cast<std::size_t>(static_cast<double>(configured) * kClientSoftLimitFraction);
+      static_cast<std::size_t>(static_cast<double>(configured) * kIdleEvictionFraction);
   limits.max_body_bytes =
       static_cast<std::uint64_t>(std::max(1.0, memory_mb * kBodyMemoryFraction) * (1 << 20));
   return limits;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -843,7 +843,7 @@
 // Guards against clients that send one request and keep their connections, shutting others out: above three
 // tenths of the descriptors the longest idle ones are closed. Not during a stop, when clients can't open new
 // ones.
-TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheSoftLimit) {
+TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheEvictionThreshold) {
   GatewayHarness harness(1, TestSettings(), 100);
   harness.host().serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
