--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -16,6 +16,7 @@
 
 namespace opalswitch::gateway {
 
+// Runs on one event loop; not thread-safe.
 class Gateway {
  public:
   // Opens the listener and starts discovery. Throws std::exception if the settings are invalid or the address
--- a/src/gateway/service_gateway.cpp
+++ b/src/gateway/service_gateway.cpp
@@ -29,8 +29,9 @@
 
 void WriteLogLine(const std::string& text) { std::fprintf(stderr, "forkwick: %s\n", text.c_str()); }
 
-// Raises the soft limit to the hard one, so that idle connections are closed only when no connection is left:
-// unlike on the platform, no front end counts idle connections against what its clients may open.
+// Sets the idle eviction threshold to the maximum, so that idle connections are closed only when no
+// connection is left: unlike on the platform, no front end counts idle connections against what its clients
+// may open.
 HttpServerLimits HttpLimits(const config::Services& services) {
   HttpServerLimits limits =
       HttpServerLimitsFor(services.descriptors, static_cast<double>(services.memory_bytes) / (1 << 20));
--- a/src/limits/request_limiter.hpp
+++ b/src/limits/request_limiter.hpp
@@ -11,6 +11,7 @@
 
 namespace opalswitch::limits {
 
+// Limits of one pool.
 struct PoolLimits {
   double requests_per_s = 0;   // 0 = no limit
   double burst = 0;            // size of the token bucket; 0 = one second's worth, at least 1
@@ -30,6 +31,7 @@
 
   // Decides on a request at time `now`. An admitted request counts as active until Release is called for it.
   Admission TryAdmit(Millis now);
+  // Ends an active request.
   void Release() { active_ -= active_ > 0 ? 1 : 0; }
 
   std::size_t active() const { return active_; }
