--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -219,29 +219,31 @@
     report_ports({gateway.address("in").port()});
     io.run();
   };
-  const Child with(run_gateway), without(run_gateway);
-  const tcp::endpoint at = Loopback(with.ports.at(0)), at_other = Loopback(without.ports.at(0));
+  const Child gateway_beside(run_gateway), gateway_alone(run_gateway);
+  const tcp::endpoint beside_address = Loopback(gateway_beside.ports.at(0)),
+                      alone_address = Loopback(gateway_alone.ports.at(0));
   const auto get = [](const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"; };
   const Child clients([&](const auto& report_ports) {
     asio::io_context io(1);
-    Load third(io, at, kBrokenPoolClients, 100000000, [&](std::size_t) { return get("/three"); });
+    Load broken_pool_load(io, beside_address, kBrokenPoolClients, 100000000,
+                          [&](std::size_t) { return get("/three"); });
     report_ports({});
     io.run();
   });
   asio::io_context io(1);
   const auto total = static_cast<std::size_t>(kRequestsPerSecond * kDurationSeconds);
-  SteadyLoad a(io, at, get("/one"), kRequestsPerSecond, total),
-      b(io, at, get("/two"), kRequestsPerSecond, total);
-  SteadyLoad c(io, at_other, get("/one"), kRequestsPerSecond, total),
-      d(io, at_other, get("/two"), kRequestsPerSecond, total);
-  while (!a.IsDone() || !b.IsDone() || !c.IsDone() || !d.IsDone())
+  SteadyLoad beside_one(io, beside_address, get("/one"), kRequestsPerSecond, total),
+      beside_two(io, beside_address, get("/two"), kRequestsPerSecond, total);
+  SteadyLoad alone_one(io, alone_address, get("/one"), kRequestsPerSecond, total),
+      alone_two(io, alone_address, get("/two"), kRequestsPerSecond, total);
+  while (!beside_one.IsDone() || !beside_two.IsDone() || !alone_one.IsDone() || !alone_two.IsDone())
     io.run_one_for(std::chrono::milliseconds(100));
   const auto worse = [](SteadyLoad& x, SteadyLoad& y) {
     return Measurements{std::min(x.ServedFraction(), y.ServedFraction()),
                         std::max(x.Quantile(0.5), y.Quantile(0.5)),
                         std::max(x.Quantile(0.99), y.Quantile(0.99))};
   };
-  return {worse(c, d), worse(a, b)};
+  return {worse(alone_one, alone_two), worse(beside_one, beside_two)};
 }
 
 double Median(std::vector<double> values) {
