--- a/bench/cost.sh
+++ b/bench/cost.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Cost of a request at the gateway: instructions (user mode and kernel) and CPU time for each request, requests a second,
-# and 99th percentile of latency. Measures the builds and set-ups below in turn, for several rounds.
+# Cost of a request at the gateway: instructions (user mode and kernel) and CPU time for each request, requests a
+# second, and 99th percentile of latency. Measures the builds and set-ups below in turn, for several rounds.
 #   bench/cost.sh OLD NEW STANDIN [ROUNDS] [SECONDS]
 # OLD and NEW are forkwick binaries, STANDIN is that of examples/standin.cpp. Both gateways run with the platform's
 # configuration, and NEW also with an operators' file with 1 and with 20 pools. Needs wrk, perf and 4 cores.
