--- a/examples/standin.cpp
+++ b/examples/standin.cpp
@@ -1,8 +1,7 @@
 // A sample backend and client for trying forkwick out. The backend answers every request with its name, the
 // method and the target.
-//   standin serve NAME ADDRESS:PORT [NAME ADDRESS:PORT ...]     serves until SIGTERM or SIGINT
-//   standin ask ADDRESS:PORT METHOD HOST PATH [BODY]            sends one request and prints the status and
-//   body
+//   standin serve NAME ADDRESS:PORT [NAME ADDRESS:PORT ...]   serves until SIGTERM or SIGINT
+//   standin ask ADDRESS:PORT METHOD HOST PATH [BODY]          sends one request; prints status and body
 #include <boost/asio.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
--- a/src/base/file_watcher.hpp
+++ b/src/base/file_watcher.hpp
@@ -24,7 +24,7 @@
   FileWatcher& operator=(const FileWatcher&) = delete;
 
  private:
-  // Device, inode, size and modification time (s, ns) from stat(); all 0 if the file cannot be read.
+  // Device, inode, size and modification time (s, ns) from stat(); all 0 if stat() fails.
   using FileStatus = std::array<long long, 5>;
   FileStatus ReadStatus() const;
   void CheckForChange();
--- a/src/base/http_types.hpp
+++ b/src/base/http_types.hpp
@@ -26,7 +26,7 @@
   return std::to_string(static_cast<long>(std::ceil(ms / 1000)));
 }
 
-// The header in refusals and failures by the gateway itself that gives the cause.
+// The header that gives the cause, in one word, in the gateway's own refusals and failures.
 constexpr char kCauseHeader[] = "Forkwick-Cause";
 
 // Default limit of a body, and limit of a header, of requests and responses.
--- a/src/config/control.hpp
+++ b/src/config/control.hpp
@@ -1,4 +1,5 @@
-// The [control] table of the operators' file: how forkwick-control serves other proxies over xDS.
+// The [control] table of the operators' file: how forkwick-control serves other proxies over xDS. The format
+// is documented in docs/operators/control.md.
 //
 // forkwick checks the table as well, so that one file serves both programs, and ignores its settings.
 // Durations are in milliseconds.
--- a/src/config/services.hpp
+++ b/src/config/services.hpp
@@ -1,4 +1,5 @@
-// The operators' file (TOML): its in-memory form, and the functions that read and check it.
+// The operators' file (TOML): its in-memory form, and the functions that read and check it. The format is
+// documented in docs/operators/services.md.
 //
 // Parsing gives one immutable `Services` value, from which a gateway for several services is built, or the
 // list of all issues in the file. Every name that refers to something else (the pool of a route, the classes
@@ -85,7 +86,9 @@
   std::uint64_t max_request_bytes = 0, max_response_bytes = 0;  // bytes of body
   Millis dial_timeout = 0, idle_timeout = 0;
   ResponseRules response_rules = ResponseRules::kPlain;
-  bool strict_drain = false;  // forkwick-control: a proxy that can't be told of a drain stops using the pool
+  // forkwick-control: a proxy to which a drain can't be delivered stops using the pool when its lease
+  // expires.
+  bool strict_drain = false;
   // The settings that can't change while the pool runs, as text; the static hosts are not among them. A
   // reload keeps each running pool whose text is unchanged.
   std::string definition;
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -231,7 +231,8 @@
         });
   }
 
-  // After a request that is invalid or not read to its end, the start of the next one is unknown.
+  // For a request that is invalid or not read to its end: the start of the next one is unknown, so the
+  // connection can't be used further.
   void RespondAndClose(const LocalReply& reply) {
     HttpResponse response = ToResponse(reply);
     response.keep_alive(false);
--- a/src/http/http_server.hpp
+++ b/src/http/http_server.hpp
@@ -72,8 +72,8 @@
   // Opens a listener with the given id and returns its actual address. Throws boost::system::system_error on
   // failure.
   boost::asio::ip::tcp::endpoint Listen(const std::string& id, const boost::asio::ip::tcp::endpoint& address);
-  // Accepts the connections that are already established, then closes the listener that was opened with this
-  // id and address. Its connections are still served.
+  // Accepts the connections that are already established, up to max_connections, then closes the listener
+  // that was opened with this id and address. Its connections are still served.
   void Unlisten(const std::string& id, const boost::asio::ip::tcp::endpoint& requested_address);
   boost::asio::ip::tcp::endpoint address(const std::string& id) const;
   std::size_t connections() const { return sessions_.size(); }
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -42,7 +42,8 @@
       next_call_timer_(io) {}
 
 void Discovery::Watch() {
-  if (std::exchange(is_watching_, true)) return;  // discovery is shared: no second call
+  // A second call at a time would only add load to the service, which all gateways share.
+  if (std::exchange(is_watching_, true)) return;
   StartCall();
 }
 
--- a/src/membership/watch_schedule.cpp
+++ b/src/membership/watch_schedule.cpp
@@ -97,7 +97,7 @@
   std::string line = std::string("discovery ") + DescribeFailure(failure);
   if (!detail.empty()) line += " (" + detail + ")";
   return line + (revision_ ? "; the last good list, revision " + std::to_string(*revision_) + ", stays"
-                           : "; no list has been received yet");
+                           : "; no list has been received from it yet");
 }
 
 std::optional<std::string> WatchSchedule::RecordSuccess(Millis elapsed, bool has_hosts) {
--- a/src/membership/watch_schedule.hpp
+++ b/src/membership/watch_schedule.hpp
@@ -27,8 +27,10 @@
   // The same while the last call has failed.
   Millis mean_recovery_wait = 2000;
   // Time-out for the response, in addition to the wait and to twice the queue delay. Doubles with each
-  // consecutive time-out, up to max_response_timeout.
+  // further consecutive time-out.
   Millis response_timeout = 600;
+  // Bound on response_timeout and twice the queue delay together. Also the whole time-out of a call that asks
+  // for the complete list without a wait.
   Millis max_response_timeout = 4000;
   Millis connect_timeout = 1000;
   // From the response's header to the end of its body.
@@ -72,10 +74,11 @@
   // a watch that continues within 200 ms without queueing it; a later call has to queue.
   Millis NextCallDelay(double uniform) const;
 
-  // Whether a call that has just failed should be repeated at once, without consulting the policy. True for
-  // the first time-out, and for a bounded number of truncated or malformed responses: discovery counts
-  // changes that it has sent as known to the gateway, so a lost drain cannot wait for the retry delay.
-  // Time-outs happen at random times, so these retries do not come from all gateways at once.
+  // Whether a call that has just failed should be repeated at once, without consulting the policy. True for a
+  // time-out that is the first of consecutive failures, and for a bounded number of truncated or malformed
+  // responses: discovery counts changes that it has sent as known to the gateway, so a lost drain cannot wait
+  // for the retry delay. Time-outs happen at random times, so these retries do not come from all gateways at
+  // once.
   bool ShouldRetryImmediately(WatchFailure failure) const;
 
   // Delay before the next call after a failure, for callers without a retry policy of their own.
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -133,7 +133,7 @@
     patterns += route.hosts.size();
     pairs += std::max<std::size_t>(1, route.hosts.size()) * std::max<std::size_t>(1, route.paths.size());
   }
-  // Leaves about a third of the slots free, so that probe sequences are short.
+  // At most about two thirds of the slots are used, so that probe sequences are short.
   const auto slots_for = [](std::size_t items) {
     std::size_t slots = 16;
     while (slots < items * 3 / 2) slots *= 2;
--- a/src/routing/target.hpp
+++ b/src/routing/target.hpp
@@ -17,8 +17,8 @@
 
 // A host and port, as in Host or an absolute URI.
 struct Authority {
-  std::string
-      host;  // lower case, without a trailing dot; an IPv6 address is in brackets and in its shortest form
+  // In lower case, without a trailing dot; an IPv6 address is in brackets and in its shortest form.
+  std::string host;
   std::optional<int> port;  // 0 to 65535; nothing if it is absent or empty
 };
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -218,7 +218,8 @@
     times.min_call_interval = 0;
     return times;
   }
-  // Waits for the n-th call, counted from 0.
+  // Waits for the n-th call, counted from 0. After a failure of the connection, the next call is the only
+  // sign that the client has noticed it.
   Peer::ReceivedRequest& AwaitRequest(std::size_t n) {
     EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() > n; })) << "call " << n;
     return peer.requests.at(n);
