--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -128,9 +128,9 @@
 // Makes the peer answer with `name` after `time`.
 void SetResponses(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
   if (time.count() == 0) return ScriptHost(peer, HostFailure::kNone, name);
-  peer.serve = [&peer, time, name](const Peer::ReceivedRequest& taken) {
-    const auto timer = std::make_shared<asio::steady_timer>(taken.connection->socket.get_executor(), time);
-    timer->async_wait([timer, taken, name](error_code) { taken.Answer(200, name); });
+  peer.serve = [&peer, time, name](const Peer::ReceivedRequest& request) {
+    const auto timer = std::make_shared<asio::steady_timer>(request.connection->socket.get_executor(), time);
+    timer->async_wait([timer, request, name](error_code) { request.Answer(200, name); });
   };
 }
 
@@ -183,7 +183,7 @@
   Measurements alone, beside;
 };
 
-Comparison MeasurePair(HostFailure how, std::chrono::milliseconds time) {
+Comparison MeasurePair(HostFailure failure, std::chrono::milliseconds time) {
   const Child hosts([time](const auto& report_ports) {
     asio::io_context io(1);
     Peer one(io), two(io);
@@ -194,12 +194,12 @@
     io.run();
   });
   // In a process of its own, so that its work does not slow down the healthy hosts.
-  const Child broken([how](const auto& report_ports) {
+  const Child broken([failure](const auto& report_ports) {
     asio::io_context io(1);
     Peer three(io);
     three.keeps_requests = false;
     const unsigned short port = three.address().port();
-    ScriptHost(three, how, "three");
+    ScriptHost(three, failure, "three");
     report_ports({port});
     const auto work = asio::make_work_guard(io);  // keeps running also if it has no listening socket
     io.run();
@@ -219,29 +219,30 @@
     report_ports({gateway.address("in").port()});
     io.run();
   };
-  const Child with(run_gateway), without(run_gateway);
-  const tcp::endpoint at = Loopback(with.ports.at(0)), at_other = Loopback(without.ports.at(0));
+  const Child gateway_beside(run_gateway), gateway_alone(run_gateway);
+  const tcp::endpoint beside_address = Loopback(gateway_beside.ports.at(0)),
+                      alone_address = Loopback(gateway_alone.ports.at(0));
   const auto get = [](const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"; };
   const Child clients([&](const auto& report_ports) {
     asio::io_context io(1);
-    Load third(io, at, kBrokenPoolClients, 100000000, [&](std::size_t) { return get("/three"); });
+    Load third(io, beside_address, kBrokenPoolClients, 100000000, [&](std::size_t) { return get("/three"); });
     report_ports({});
     io.run();
   });
   asio::io_context io(1);
   const auto total = static_cast<std::size_t>(kRequestsPerSecond * kDurationSeconds);
-  SteadyLoad a(io, at, get("/one"), kRequestsPerSecond, total),
-      b(io, at, get("/two"), kRequestsPerSecond, total);
-  SteadyLoad c(io, at_other, get("/one"), kRequestsPerSecond, total),
-      d(io, at_other, get("/two"), kRequestsPerSecond, total);
-  while (!a.IsDone() || !b.IsDone() || !c.IsDone() || !d.IsDone())
+  SteadyLoad beside_one(io, beside_address, get("/one"), kRequestsPerSecond, total),
+      beside_two(io, beside_address, get("/two"), kRequestsPerSecond, total);
+  SteadyLoad alone_one(io, alone_address, get("/one"), kRequestsPerSecond, total),
+      alone_two(io, alone_address, get("/two"), kRequestsPerSecond, total);
+  while (!beside_one.IsDone() || !beside_two.IsDone() || !alone_one.IsDone() || !alone_two.IsDone())
     io.run_one_for(std::chrono::milliseconds(100));
   const auto worse = [](SteadyLoad& x, SteadyLoad& y) {
     return Measurements{std::min(x.ServedFraction(), y.ServedFraction()),
                         std::max(x.Quantile(0.5), y.Quantile(0.5)),
                         std::max(x.Quantile(0.99), y.Quantile(0.99))};
   };
-  return {worse(c, d), worse(a, b)};
+  return {worse(alone_one, alone_two), worse(beside_one, beside_two)};
 }
 
 double Median(std::vector<double> values) {
--- a/src/apps/forkwick_control.cpp
+++ b/src/apps/forkwick_control.cpp
@@ -171,8 +171,8 @@
   double timeout_s = 0;
   auto* const run = app.add_subcommand("run", "serve until SIGTERM; SIGHUP reloads the file");
   run->add_option("--config", file, "the operators' file")->required();
-  const auto add_client_command = [&](const char* name, const char* what) {
-    auto* const command = app.add_subcommand(name, what);
+  const auto add_client_command = [&](const char* name, const char* description) {
+    auto* const command = app.add_subcommand(name, description);
     auto* const by_file =
         command->add_option("--config", file, "the operators' file, whose control.socket is used");
     command->add_option("--socket", socket, "the path of the control socket")->excludes(by_file);
