--- a/bench/isolation.cpp
+++ b/bench/isolation.cpp
@@ -128,9 +128,9 @@
 // Makes the peer answer with `name` after `time`.
 void SetResponses(Peer& peer, std::chrono::milliseconds time, const std::string& name) {
   if (time.count() == 0) return ScriptHost(peer, HostFailure::kNone, name);
-  peer.serve = [&peer, time, name](const Peer::ReceivedRequest& taken) {
-    const auto timer = std::make_shared<asio::steady_timer>(taken.connection->socket.get_executor(), time);
-    timer->async_wait([timer, taken, name](error_code) { taken.Answer(200, name); });
+  peer.serve = [&peer, time, name](const Peer::ReceivedRequest& request) {
+    const auto timer = std::make_shared<asio::steady_timer>(request.connection->socket.get_executor(), time);
+    timer->async_wait([timer, request, name](error_code) { request.Answer(200, name); });
   };
 }
 
@@ -183,7 +183,7 @@
   Measurements alone, beside;
 };
 
-Comparison MeasurePair(HostFailure how, std::chrono::milliseconds time) {
+Comparison MeasurePair(HostFailure failure, std::chrono::milliseconds time) {
   const Child hosts([time](const auto& report_ports) {
     asio::io_context io(1);
     Peer one(io), two(io);
@@ -194,12 +194,12 @@
     io.run();
   });
   // In a process of its own, so that its work does not slow down the healthy hosts.
-  const Child broken([how](const auto& report_ports) {
+  const Child broken([failure](const auto& report_ports) {
     asio::io_context io(1);
     Peer three(io);
     three.keeps_requests = false;
     const unsigned short port = three.address().port();
-    ScriptHost(three, how, "three");
+    ScriptHost(three, failure, "three");
     report_ports({port});
     const auto work = asio::make_work_guard(io);  // keeps running also if it has no listening socket
     io.run();
