--- a/bench/xds_push.cpp
+++ b/bench/xds_push.cpp
@@ -1,6 +1,6 @@
 // Measures the cost of one endpoint's change for the control service: CPU time and bytes per proxy, and
-// memory per proxy. With LEDS (delta), with whole ClusterLoadAssignments (delta), and with state of the
-// world. No sockets: messages are built and serialized as for sending, and acknowledged at once.
+// memory per proxy. Compares LEDS (delta), whole ClusterLoadAssignments (delta), and state of the world. No
+// sockets: messages are built and serialized as for sending, and acknowledged at once.
 //   xds_push [PROXIES [ROUNDS]]
 #include <malloc.h>
 #include <time.h>
--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -345,7 +345,9 @@
   auto& requirements = drain_requirements_[id];
   for (const std::string& host : hosts) {
     const auto found = pool.published.find(host);
-    if (found == pool.published.end()) continue;  // removed: the requirements recorded for its drain stay
+    // Removed: the requirements recorded for its drain stay. Proxies also satisfy them by accepting a later
+    // version without the host.
+    if (found == pool.published.end()) continue;
     const EndpointAssignment& endpoint = found->second;
     if (endpoint.health != EndpointHealth::kDraining) {
       requirements.erase(host);
--- a/src/xds/load_service.hpp
+++ b/src/xds/load_service.hpp
@@ -19,12 +19,13 @@
 class LoadService : public envoy::service::load_stats::v3::LoadReportingService::CallbackService {
  public:
   struct Options {
-    Millis report_interval =
-        1000;  // that proxies are asked for; reports after less than half of it are dropped
+    // Proxies are asked to report this often. A report that follows the last processed one after less
+    // than half of it is dropped.
+    Millis report_interval = 1000;
     double max_reports_per_second = 2000;   // over all proxies; further ones are dropped
     std::vector<std::string> client_names;  // see IsCallerAllowed
-    std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)>
-        on_report;  // called on the loop's thread
+    // Called on the loop's thread; may be empty.
+    std::function<void(const ProxyNode&, const std::vector<LoadReport>&, Millis now)> on_report;
   };
   LoadService(DecisionLoop& loop, Options options) : loop_(loop), options_(std::move(options)) {}
 
--- a/src/xds/operator_server.cpp
+++ b/src/xds/operator_server.cpp
@@ -196,7 +196,7 @@
 
 int ReportFailure(const std::string& socket, const grpc::Status& status) {
   if (status.error_code() == grpc::StatusCode::UNAVAILABLE) {
-    std::fprintf(stderr, "forkwick-control: %s: nobody answers (%s)\n", socket.c_str(),
+    std::fprintf(stderr, "forkwick-control: %s: the control service does not answer (%s)\n", socket.c_str(),
                  status.error_message().c_str());
   } else {
     std::fprintf(stderr, "forkwick-control: %s\n", status.error_message().c_str());
@@ -254,7 +254,7 @@
       std::printf("  %-24s %-21s %-8s weight %u%s", host.id().c_str(), host.address().c_str(),
                   host.standing().c_str(), host.weight(), host.trial() ? ", on trial" : "");
       if (host.reporters() > 0) {
-        std::printf(", failing %.0f%% as %u proxies say", 100 * host.failing(), host.reporters());
+        std::printf(", failing %.0f%% as reported by %u proxies", 100 * host.failing(), host.reporters());
       }
       std::printf("\n");
     }
@@ -294,7 +294,7 @@
   while (reader->Read(&reply)) {
     has_replied = true;
     if (reply.waiting().empty()) {
-      std::printf("%s is drained: no proxy sends to it any more, %.0f ms after it was told\n", node.c_str(),
+      std::printf("%s is drained: no proxy sends to it any more, %.0f ms after the request\n", node.c_str(),
                   reply.after_ms());
     }
     for (const auto& waiting : reply.waiting()) {
--- a/src/xds/pool_decider.cpp
+++ b/src/xds/pool_decider.cpp
@@ -10,7 +10,7 @@
 namespace opalswitch::xds {
 namespace {
 
-constexpr double kMaxSampleCredit = 20;  // per host
+constexpr double kMaxSampleCredit = 20;  // samples that the reports on one host allow at once
 constexpr int kMaxSamplesPerTick = 200;
 constexpr Millis kMaxSampleLatencyMs = 5000;  // longer latencies are cut to it
 constexpr Millis kProbeTimeoutMs = 5000;  // a probe without a report on its host ends as not sent after it
--- a/src/xds/pool_decider.hpp
+++ b/src/xds/pool_decider.hpp
@@ -4,8 +4,9 @@
 //
 // The module learns only from the outcomes of requests. The decider therefore submits sample requests, which
 // are not sent anywhere, and ends each one as the reports say that requests to the chosen host end. A host
-// that the module has ejected is marked so. When the module selects it for a probe, the host gets a small
-// weight until reports on it arrive.
+// that the module ejects is published as ejected. When the module selects it for a probe, the host is
+// published as healthy with a small weight, until reports on it show that it still fails or that it has
+// recovered.
 #ifndef OPALSWITCH_XDS_POOL_DECIDER_HPP_
 #define OPALSWITCH_XDS_POOL_DECIDER_HPP_
 
@@ -48,7 +49,7 @@
     std::string id, address;
     EndpointHealth health;
     std::uint32_t weight;
-    bool is_probed;           // it has a small weight until reports on it arrive
+    bool is_probed;           // ejected by the module, but in use with a small weight
     double failure_fraction;  // as reported; 0 without reports
     std::size_t reporter_count;
   };
@@ -64,7 +65,8 @@
     double sample_credit = 0;      // reported requests that no sample has been submitted for yet
     double failure_remainder = 0;  // sum of failure fractions; at 1, the next sample fails
     Millis replaced_at = 0;        // earlier reports concern another process
-    // Set from the first probe of an ejected host until a probe fails; meanwhile the host has a small weight.
+    // Set from the first probe of an ejected host until a probe fails or the ejection ends; meanwhile the
+    // host has a small weight.
     Millis probing_since = -1;  // -1 = not being probed
     Millis probe_sent_at = 0;
     std::string probe_request;  // id of the sample waiting for a report; empty if none
--- a/src/xds/resources.cpp
+++ b/src/xds/resources.cpp
@@ -69,8 +69,8 @@
   return cluster;
 }
 
-// Whether a route can match a request that the virtual host of `domain` handles: one of the route's host
-// patterns is that domain, or a wildcard that covers it, or it has none.
+// Whether a route can match a request that the virtual host of `domain` handles: the route has no host
+// patterns, or one of them is that domain or a wildcard that covers it.
 bool RouteAppliesToDomain(const routing::Route& match, const std::string& domain) {
   if (match.hosts.empty()) return true;
   return std::any_of(match.hosts.begin(), match.hosts.end(), [&](const std::string& pattern) {
--- a/src/xds/session.hpp
+++ b/src/xds/session.hpp
@@ -23,8 +23,8 @@
 
 // Bounds on the state that one proxy can make the service keep.
 struct SessionLimits {
-  std::size_t max_subscriptions = 10000;  // names of one type; a collection counts as one
-  std::size_t max_initial_versions = 200000;
+  std::size_t max_subscriptions = 10000;      // names of one type; a collection counts as one
+  std::size_t max_initial_versions = 200000;  // resources that a proxy reports as already held
   std::size_t max_name_bytes = 512;
   std::size_t max_unacknowledged_responses = 8;  // of one type; no further ones are sent until an ACK or NACK
   std::size_t max_response_bytes = 1 << 20;      // of the resources in a response that may be split
--- a/src/xds/tls.hpp
+++ b/src/xds/tls.hpp
@@ -16,7 +16,7 @@
 
 // Throws std::runtime_error, with the file's name, if a file can't be read or has no PEM block of the
 // expected kind. With a client authority, proxies must present a certificate signed by it (mutual TLS).
-// Changed files are noticed within a second; a key that does not match its certificate is not used.
+// The files are checked for changes once a second; a key that does not match its certificate is not used.
 std::shared_ptr<grpc::ServerCredentials> MakeCredentials(const config::ControlTls& tls);
 
 // Whether the caller's certificate has one of `names` as a subject alternative name or, if it has none of
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -132,8 +132,8 @@
   ASSERT_EQ(ServiceFolder::PortOf(*process), port);
   const ProgramResult drain = RunProgram("drain a --wait " + folder.Socket());
   EXPECT_EQ(drain.exit_code, 0) << drain.output;
-  EXPECT_FALSE(
-      unresponsive.MayRouteTo("one", "10.0.0.1"));  // its lease expired before the drain ended waiting
+  // Its lease expired before the drain ended waiting.
+  EXPECT_FALSE(unresponsive.MayRouteTo("one", "10.0.0.1"));
   SubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0 && HasAllResources(client); }));
   EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
--- a/tests/xds_control_test.cpp
+++ b/tests/xds_control_test.cpp
@@ -320,8 +320,8 @@
   EXPECT_EQ(simulation.Usable(1, "one").size(), 1u);
   simulation.Deliver(simulation.control.Configure(
       File("[control]\ngroup = [{ id = \"all\", pools = [\"two\"] }]\n"), simulation.now));
-  EXPECT_FALSE(simulation.held[1][ResourceType::kCluster].contains(
-      "one"));  // the proxy changes its group on the same stream
+  // The proxy changes its group on the same stream.
+  EXPECT_FALSE(simulation.held[1][ResourceType::kCluster].contains("one"));
   EXPECT_EQ(simulation.Usable(1, "two").size(), 1u);
 }
 
--- a/tests/xds_decider_test.cpp
+++ b/tests/xds_decider_test.cpp
@@ -110,8 +110,8 @@
     pool.Run(1000);
   }
   EXPECT_EQ(pool.UsableCount() + (pool.EndpointOf(3).health == EndpointHealth::kHealthy ? 0 : 1), 4);
-  EXPECT_LE(pool.EndpointOf(3).weight * 20,
-            pool.EndpointOf(0).weight);  // ejected, or probed with a small weight
+  // Ejected, or probed with a small weight.
+  EXPECT_LE(pool.EndpointOf(3).weight * 20, pool.EndpointOf(0).weight);
   // The host is probed: the reports on it are bad at first, then good.
   bool was_ejected = false, was_probed = false;
   for (int i = 0; i < 300; ++i) {
@@ -152,7 +152,7 @@
       for (int host = 0; host < misreported_hosts; ++host) reported[host] = {0, 1000};
       misreported_pool.Report("liar", reported);
       misreported_pool.Run(1000);
-      ASSERT_GE(misreported_pool.UsableCount(), 3) << misreported_hosts << " hosts lied of, second " << i;
+      ASSERT_GE(misreported_pool.UsableCount(), 3) << misreported_hosts << " misreported hosts, second " << i;
     }
   }
 }
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -258,8 +258,8 @@
       return proxy->HoldsHealthyEndpoint("one", "10.0.0.1") || proxy->has_ended();
     })) << proxy->response_count(ResourceType::kEndpoint);
   for (const auto& proxy : proxies) EXPECT_FALSE(proxy->has_ended()) << proxy->status().error_message();
-  std::thread drain(
-      [&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });  // while they reconnect
+  // The drain is published while the proxies reconnect.
+  std::thread drain([&] { service.Publish(Assignments(EndpointHealth::kDraining), true); });
   each([&](XdsClient& proxy) {
     proxy.Disconnect();
     connect(proxy);
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -91,9 +91,8 @@
     const auto second = session.NextResponse(two);
     ASSERT_TRUE(second);
     EXPECT_EQ(Names(*second), (Strings{"b@2", "c@1"}));
-    EXPECT_EQ(second->removed, variant == Variant::kDelta
-                                   ? Strings{"a"}
-                                   : Strings{});  // state of the world: removed by not being listed
+    // State of the world: "a" is removed by not being listed.
+    EXPECT_EQ(second->removed, variant == Variant::kDelta ? Strings{"a"} : Strings{});
     session.HandleRequest(Ack(*second), two);
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "b")), "2");
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "a")), "");
