--- a/src/xds/operator_server.cpp
+++ b/src/xds/operator_server.cpp
@@ -76,31 +76,31 @@
       reply->set_stale_nonces(statistics.stale_nonces);
       reply->set_refused_streams(statistics.refused_streams);
       for (const StreamHub::ProxyStatus& proxy : hub.ProxyStatuses()) {
-        auto* const to = reply->add_proxies();
-        to->set_id(proxy.node.id);
-        to->set_cluster(proxy.node.cluster);
-        to->set_zone(proxy.node.zone);
-        to->set_group(proxy.group);
-        to->set_settled(proxy.settled);
-        to->set_nacks(proxy.nacks);
-        if (proxy.last_rejection) to->set_last_rejection(FormatRejection(*proxy.last_rejection));
+        auto* const proxy_status = reply->add_proxies();
+        proxy_status->set_id(proxy.node.id);
+        proxy_status->set_cluster(proxy.node.cluster);
+        proxy_status->set_zone(proxy.node.zone);
+        proxy_status->set_group(proxy.group);
+        proxy_status->set_settled(proxy.settled);
+        proxy_status->set_nacks(proxy.nacks);
+        if (proxy.last_rejection) proxy_status->set_last_rejection(FormatRejection(*proxy.last_rejection));
       }
       if (!control_) return ControlPlane::OutgoingMessages();
       reply->set_load_reports(control_->load_report_count());
       for (const std::string& node : control_->drained_nodes()) reply->add_drained(node);
       for (const ControlPlane::PoolStatus& pool : control_->Status(now)) {
-        auto* const to = reply->add_pools();
-        to->set_id(pool.id);
-        to->set_strict(pool.strict);
+        auto* const pool_status = reply->add_pools();
+        pool_status->set_id(pool.id);
+        pool_status->set_strict(pool.strict);
         for (const PoolDecider::HostStatus& host : pool.hosts) {
-          auto* const one = to->add_hosts();
-          one->set_id(host.id);
-          one->set_address(host.address);
-          one->set_standing(HealthName(host.health));
-          one->set_weight(host.weight);
-          one->set_trial(host.is_probed);
-          one->set_failing(host.failure_fraction);
-          one->set_reporters(static_cast<std::uint32_t>(host.reporter_count));
+          auto* const host_status = pool_status->add_hosts();
+          host_status->set_id(host.id);
+          host_status->set_address(host.address);
+          host_status->set_standing(HealthName(host.health));
+          host_status->set_weight(host.weight);
+          host_status->set_trial(host.is_probed);
+          host_status->set_failing(host.failure_fraction);
+          host_status->set_reporters(static_cast<std::uint32_t>(host.reporter_count));
         }
       }
       return ControlPlane::OutgoingMessages();
--- a/src/xds/stream_hub.cpp
+++ b/src/xds/stream_hub.cpp
@@ -95,7 +95,7 @@
     stream.group = group_selector_ ? group_selector_(node) : std::string();
   }
   const auto group = groups_.find(stream.group);
-  static const Snapshot kNothing{std::array<ResourceMap, kResourceTypeCount>()};
+  static const Snapshot kEmptySnapshot{std::array<ResourceMap, kResourceTypeCount>()};
   const std::uint64_t answers_before = stream.session.acks() + stream.session.nacks();
   std::optional<XdsRequest> adjusted;
   if (request.type == ResourceType::kEndpoint && !request.initial_versions.empty() &&
@@ -105,7 +105,7 @@
                   [&](const auto& entry) { return strict_pools_.contains(entry.first); });
   }
   const auto error = stream.session.HandleRequest(
-      adjusted ? *adjusted : request, group == groups_.end() ? kNothing : *group->second.published);
+      adjusted ? *adjusted : request, group == groups_.end() ? kEmptySnapshot : *group->second.published);
   if (error) {
     CloseStream(id, *error, now, out);
     return out;
--- a/tests/standins/xds_client.hpp
+++ b/tests/standins/xds_client.hpp
@@ -345,7 +345,7 @@
 
 // Connects the proxy and subscribes to all resources of a file with pools "one" and "two" and a listener
 // "in".
-inline void SubscribeToAll(XdsClient& client) {
+inline void ConnectAndSubscribeToAll(XdsClient& client) {
   client.Connect();
   client.Subscribe(xds::ResourceType::kCluster);
   client.Subscribe(xds::ResourceType::kEndpoint, {"one", "two"});
@@ -362,7 +362,7 @@
 }
 
 inline bool ConnectAndReceiveAll(XdsClient& client) {
-  SubscribeToAll(client);
+  ConnectAndSubscribeToAll(client);
   return client.Await([&] { return HasAllResources(client); });
 }
 
--- a/tests/xds_command_test.cpp
+++ b/tests/xds_command_test.cpp
@@ -134,7 +134,7 @@
   EXPECT_EQ(drain.exit_code, 0) << drain.output;
   // Its lease expired before the drain ended waiting.
   EXPECT_FALSE(unresponsive.MayRouteTo("one", "10.0.0.1"));
-  SubscribeToAll(client);
+  ConnectAndSubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0 && HasAllResources(client); }));
   EXPECT_FALSE(client.HoldsHealthyEndpoint("one", "10.0.0.1"));
   EXPECT_FALSE(client.HoldsHealthyEndpoint("two", "10.0.0.1"));
--- a/tests/xds_server_test.cpp
+++ b/tests/xds_server_test.cpp
@@ -100,13 +100,13 @@
     client.react = [&](ResourceType, auto&) {
       return ++seen > boundary ? Reaction::kNoAnswer : Reaction::kAck;
     };
-    SubscribeToAll(client);
+    ConnectAndSubscribeToAll(client);
     client.Await([&] { return seen >= std::min(boundary, 4); });
     client.Disconnect();
     client.react = [](ResourceType, auto&) { return Reaction::kAck; };
     service.Publish(Assignments(boundary % 2 == 0 ? EndpointHealth::kDraining : EndpointHealth::kHealthy),
                     true);
-    SubscribeToAll(client);
+    ConnectAndSubscribeToAll(client);
     ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << boundary;
     ASSERT_TRUE(client.Await([&] { return client.heartbeat_count() > 0; })) << boundary;
     EXPECT_EQ(client.MayRouteTo("one", "10.0.0.1"), boundary % 2 != 0) << boundary;
@@ -123,11 +123,11 @@
     {
       CuttingRelay relay(service.server->port(), cut);
       XdsClient cut_off(relay.port(), GetParam(), "proxy-" + std::to_string(cut));
-      SubscribeToAll(cut_off);
+      ConnectAndSubscribeToAll(cut_off);
       // Either the connection was cut, or everything arrived before the cut.
       ASSERT_TRUE(cut_off.Await([&] { return cut_off.has_ended() || HasAllResources(cut_off); })) << cut;
     }
-    SubscribeToAll(client);
+    ConnectAndSubscribeToAll(client);
     ASSERT_TRUE(client.Await([&] { return HasAllResources(client); })) << cut;
     EXPECT_TRUE(client.HoldsHealthyEndpoint("one", "10.0.0.1")) << cut;
   }
@@ -142,7 +142,7 @@
         type == ResourceType::kCluster && std::find(names.begin(), names.end(), "one") != names.end();
     return bad ? Reaction::kNack : Reaction::kAck;
   };
-  SubscribeToAll(client);
+  ConnectAndSubscribeToAll(client);
   ASSERT_TRUE(client.Await([&] { return client.held(ResourceType::kCluster).contains("two"); }));
   EXPECT_FALSE(client.held(ResourceType::kCluster).contains("one"));
   EXPECT_TRUE(service.Await([](const auto& statistics) { return statistics.nacks >= 2; }));
@@ -162,8 +162,8 @@
   XdsClient silent(service.server->port(), GetParam(), "silent"),
       good(service.server->port(), GetParam(), "good");
   silent.react = [](ResourceType, auto&) { return Reaction::kNoAnswer; };
-  SubscribeToAll(good);
-  SubscribeToAll(silent);
+  ConnectAndSubscribeToAll(good);
+  ConnectAndSubscribeToAll(silent);
   ASSERT_TRUE(silent.Await([&] { return silent.has_ended(); }));
   EXPECT_EQ(silent.status().error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
   EXPECT_EQ(silent.status().error_message(), "acknowledges nothing");
@@ -173,8 +173,8 @@
 TEST_P(XdsServer, TwoInstancesSendTheSameVersions) {
   Service one, two;
   XdsClient client(one.server->port(), GetParam()), other(two.server->port(), GetParam());
-  SubscribeToAll(client);
-  SubscribeToAll(other);
+  ConnectAndSubscribeToAll(client);
+  ConnectAndSubscribeToAll(other);
   ASSERT_TRUE(client.Await([&] { return HasAllResources(client); }));
   ASSERT_TRUE(other.Await([&] { return HasAllResources(other); }));
   for (const ResourceType type :
--- a/tests/xds_session_test.cpp
+++ b/tests/xds_session_test.cpp
@@ -177,9 +177,9 @@
     EXPECT_EQ(session.nacks(), 2u);
     // A corrected version is sent.
     const Snapshot three = MakeSnapshot({{"bad", "3"}, {"good", "2"}}, {});
-    const auto mended = session.NextResponse(three);
-    ASSERT_TRUE(mended);
-    session.HandleRequest(Ack(*mended), three);
+    const auto corrected = session.NextResponse(three);
+    ASSERT_TRUE(corrected);
+    session.HandleRequest(Ack(*corrected), three);
     EXPECT_EQ(VersionOf(session.AcceptedResource(ResourceType::kCluster, "bad")), "3");
   }
 }
