--- a/include/opalswitch/policy.hpp
+++ b/include/opalswitch/policy.hpp
@@ -59,7 +59,7 @@
   int max_in_flight = 0;              // attempts in flight over all servers; 0 = unlimited
   int streams_per_connection = 1;     // concurrent attempts that one connection to a server carries
   bool can_cancel = false;            // the gateway supports Cancel
-  double cold_capacity_fraction = 1;  // fraction of its capacity that a server has right after its start;
+  double cold_capacity_fraction = 1;  // minimum fraction of its capacity that a server has after its start;
   Millis warm_up_time = 0;            // it grows linearly to 1 during this time
   double overload_multiple = 3;   // a cold server fails when it gets this multiple of its current capacity
   bool has_key_affinity = false;  // a server does less work for a key that it has handled recently
--- a/src/module/bucket.cpp
+++ b/src/module/bucket.cpp
@@ -20,9 +20,11 @@
 constexpr Millis kMinRateDecreaseIntervalMs = 100;
 // The rate decreases when more than this fraction of recent outcomes was late or failed.
 constexpr double kMaxLateFraction = 0.3;
-// The same where servers are highly shared: each gateway sees only a few of their failures.
+// The same where servers are highly shared and report no utilization: each gateway sees only a few of their
+// failures.
 constexpr double kMaxLateFractionHighlyShared = 0.1;
-// The rate decreases only if at least this fraction of the servers' concurrency limits is in use.
+// The rate decreases only if at least this fraction of the servers' concurrency limits is in use (see
+// AreServersLoaded).
 constexpr double kMinLoadedFraction = 0.5;
 // Capacity of the bucket, as the time in which it fills.
 constexpr Millis kBurstMs = 50;
--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -11,7 +11,7 @@
 
 namespace opalswitch {
 
-// Constants that several mechanisms use.
+// Constants that several mechanisms use. They depend on no particular deployment.
 
 // Smoothing factor of a server's latency.
 constexpr double kLatencySmoothingFactor = 0.1;
@@ -30,7 +30,8 @@
 constexpr Millis kInitialProbeIntervalMs = 300;
 // A cold server is sent this fraction of the load that makes it fail (Settings::overload_multiple).
 constexpr double kColdLoadFraction = 0.4;
-// Reported utilization is capped here. Measurement noise may show more than 1.
+// Reported utilization is capped here: measurement noise may show more than 1. Also stands for the
+// utilization of a server that rejects or times out.
 constexpr double kMaxUtilization = 1.1;
 // Time constant of the rate at which tokens are spent.
 constexpr Millis kSpentRateWindowMs = 1000;
@@ -132,11 +133,11 @@
   double EjectionThreshold(const TrackedServer& server) const;
   // Failure rate below which the ejected server is used again.
   double RecoveryThreshold(const TrackedServer& server) const;
-  // Whether most of the capacity apart from this server is ejected.
+  // Whether the other servers that are not ejected have less than kMinAvailableFraction of the weight of all.
   bool TooFewOthersAvailable(const TrackedServer& server) const;
   // The request's work relative to the mean of all requests; 1 before anything was learned.
   double RelativeWork(const ActiveRequest& request) const;
-  // Limits a single high latency sample.
+  // Returns the latency sample, limited if it is a single high one. Stores it for the next call.
   double ClampLatencyOutlier(TrackedServer& server, double sample);
   // Whether the attempt timed out because its client gave it too little time.
   bool HadTooLittleTime(const ActiveRequest& request, const Outcome& outcome) const;
--- a/src/module/outliers.cpp
+++ b/src/module/outliers.cpp
@@ -46,9 +46,9 @@
 // release, say little about a single server, and ejecting servers for them leaves no server to send to. So a
 // server's failure rate is compared with that of the servers that are not ejected: it is ejected above their
 // rate plus a tolerance for random variation, and used again below their rate plus a smaller margin.
-// Limitation: where nearly all servers fail, those that fail less by a smaller difference are not preferred.
-// Where half of the servers are ejected, the others get twice their load, so only servers that serve almost
-// nothing are ejected then.
+// Limitation: where nearly all servers fail, the few that do not are not told apart if the difference is
+// within that tolerance. Where half of the servers are ejected, the others get twice their load, so only
+// servers that serve almost nothing are ejected then.
 double Policy::Impl::EjectionThreshold(const TrackedServer& server) const {
   const double deviation = std::sqrt(server_failure_rate_ * (1 - server_failure_rate_) *
                                      kFailureSmoothingFactor / (2 - kFailureSmoothingFactor));
--- a/src/module/pick.cpp
+++ b/src/module/pick.cpp
@@ -6,7 +6,7 @@
 
 // The median latency is recomputed after this fraction (1/16) of the servers has new latency samples.
 constexpr std::size_t kMedianUpdateDivisor = 16;
-// Cost of a server in another zone relative to one in the gateway's zone.
+// Cost of a server in another zone relative to one in the gateway's zone: traffic between zones has a price.
 constexpr double kCrossZoneCostFactor = 1.3;
 // The mean latency of a server's kind counts as this many samples of the server.
 constexpr double kKindPriorSamples = 2;
--- a/src/module/queues.cpp
+++ b/src/module/queues.cpp
@@ -15,14 +15,16 @@
 constexpr double kMaxClassCredit = 4;
 // Time constant of the classes' request counts.
 constexpr Millis kTimelyWindowMs = 20000;
-// A difference of this in two classes' fractions of timely responses changes the ratio of their weights by e.
+// A difference of this in two classes' fractions of timely responses changes the ratio of their lag terms by
+// a factor of e.
 constexpr double kTimelyFractionScale = 0.05;
 // Retry budget: retries earned per request, and their maximum.
 constexpr double kRetriesPerFirstAttempt = 0.2;
 constexpr double kMaxRetryBudget = 20;
-// Smoothing factor of the time that requests have left on arrival.
+// Smoothing factor of the time that first tries have left on arrival, where clients mark retries.
 constexpr double kTimeLeftSmoothingFactor = 0.05;
-// Unmarked requests with less than this fraction of the longest time left count as client retries.
+// Only requests with less than this fraction of the time that first tries have left are treated as client
+// retries when lateness is determined. Where clients mark retries, they must also be marked.
 constexpr double kFirstTryTimeFraction = 0.95;
 // Fraction of its time up to the aim that a request may be queued.
 constexpr double kMaxWaitFraction = 0.15;
--- a/src/module/warm_up.cpp
+++ b/src/module/warm_up.cpp
@@ -11,7 +11,7 @@
 constexpr double kMaxColdLoadFraction = 0.7;
 // Target for the unused utilization of a server, divided by the square root of its weight.
 constexpr double kFreeUtilization = 0.35;
-// Without reports, the send budget is this fraction of the server's part of the refill rate.
+// Until a warm server has reported, its send budget is this fraction of its part of the refill rate.
 constexpr double kInitialBudgetFraction = 0.6;
 // Time in which the send budget grows by a factor of e, per unit of utilization below the target.
 constexpr Millis kBudgetGrowthTimeMs = 500;
@@ -21,7 +21,8 @@
 constexpr Millis kMaxReportGapMs = 1000;
 // Lower bound of the send budget of a server over all gateways.
 constexpr double kMinSendBudgetPerMs = 0.0005;
-// Time constant with which the reference rate falls while there are fewer responses.
+// Where send budgets follow reports: time constant with which the reference rate falls while there are fewer
+// responses.
 constexpr Millis kReferenceHoldTimeMs = 60000;
 
 // A lower bound: the fraction that the server is certain to have by now.
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -323,8 +323,8 @@
   return max_count;
 }
 
-// Guards the membership source against a queue of requests that are all answered too late: 877 requests at
-// once got 39 responses.
+// Guards the membership source against a queue so long that queued requests are answered too late: in an
+// observed case, 877 requests got 39 responses.
 TEST(LargeFleet, GatewaysThatStartAtOnceSpreadTheirMembershipRequests) {
   const auto watch_times = WatchTimesOfAllGateways(true);
   for (const auto& times : watch_times) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -386,7 +386,7 @@
 
 TEST(Rate, FailuresOfAllServersDecreaseIt) { EXPECT_GT(RateAfterFirstDecrease(20, Result::kError), 0); }
 
-// Guards against rate decreases for failures that overload can not have caused: few requests are in flight.
+// Guards against rate decreases for failures that overload cannot have caused: few requests are in flight.
 TEST(Rate, FailuresOfLightlyLoadedServersDoNotDecreaseIt) {
   EXPECT_EQ(RateAfterFirstDecrease(2, Result::kError), 0);
 }
@@ -934,8 +934,8 @@
 // leave connections idle for longer, which causes more resets.
 TEST(Rate, ConnectionResetsDoNotDecreaseIt) { EXPECT_EQ(RateAfterFirstDecrease(20, Result::kReset), 0); }
 
-// Guards against never ejecting a server because all servers fail now and then: one that always fails is
-// ejected, the others are not.
+// Guards against comparing servers so leniently that none is ejected where all fail now and then: the one
+// that always fails is ejected, the others are not.
 TEST(Ejection, OnlyTheServerThatFailsMoreThanTheOthersIsEjected) {
   FakeGateway gateway;
   gateway.SetServerCount(4);
@@ -1019,7 +1019,7 @@
   EXPECT_LT(by_worth.at("view"), by_worth.at("pay") / 2);
   settings.worst_class_weight = 1;
   const auto lifted = AnsweredShares(settings);
-  EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three times the scale of the weights
+  EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three times kTimelyFractionScale
   EXPECT_GT(lifted.at("view"), by_worth.at("view"));
   EXPECT_GT(lifted.at("view") + lifted.at("pay"), 0.9 * (by_worth.at("view") + by_worth.at("pay")));
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,7 +1,8 @@
 // Checks the module's guarantees under random events, with a checker that shares no code with the module:
 //   - each request gets exactly one final answer, at most 20 ms after its client's deadline;
 //   - attempts of a request do not overlap, do not exceed max_attempts, and go only to servers that are up;
-//   - a request that must not run twice is not sent again, nor refused, after an attempt that may have run;
+//   - after an attempt that may have run, an unsafe request is not sent again, and neither an unsafe nor a
+//     keyed request is refused (the checker's keyed class has the scope of a cell);
 //   - retries of keyed requests stay within the deduplication scope and the repeat window.
 #include <gtest/gtest.h>
 
