--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -402,17 +402,19 @@
 }
 
 TEST(LargeFleet, RequestsMoveFromBusyServersToIdleOnes) {
-  const auto half = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
+  const auto utilization = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
   int busy = 0, idle = 0;
-  for (const auto& [id, n] : RequestsSentByUtilization(half)) (half(id) > 0.5 ? busy : idle) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(utilization))
+    (utilization(id) > 0.5 ? busy : idle) += n;
   EXPECT_GE(idle, 80);
   EXPECT_LE(busy, idle / 5);
 }
 
 TEST(LargeFleet, ServersThatTimeOutAreSentLessWithoutReports) {
-  const auto silent = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
+  const auto utilization = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
   int lost = 0, served = 0;
-  for (const auto& [id, n] : RequestsSentByUtilization(silent)) (silent(id) > 1 ? lost : served) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(utilization))
+    (utilization(id) > 1 ? lost : served) += n;
   EXPECT_LE(lost, served / 3);  // including probes of ejected servers
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -186,9 +186,9 @@
 
 TEST(Events, NonFiniteNumbersDoNotReachEstimates) {
   FakeGateway gateway;
-  Server odd = MakeServer("s0");
-  odd.weight = std::numeric_limits<double>::quiet_NaN();
-  gateway.SetServers({odd, MakeServer("s1")});
+  Server server_with_nan_weight = MakeServer("s0");
+  server_with_nan_weight.weight = std::numeric_limits<double>::quiet_NaN();
+  gateway.SetServers({server_with_nan_weight, MakeServer("s1")});
   Request r;
   r.id = "nan";
   r.class_name = "view";
@@ -216,14 +216,14 @@
 
 TEST(Events, InvalidTimesNeitherStopTheClockNorLoseRequests) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  for (const double odd : {nan, -1e12}) {
+  for (const double invalid_time : {nan, -1e12}) {
     FakeGateway gateway;
-    gateway.now = odd;  // already at the first event
+    gateway.now = invalid_time;  // already at the first event
     gateway.SetServerCount(2);
     gateway.now = 5000;
     const std::string server = FakeGateway::ServerSentTo(gateway.SendRequest("a"));
     ASSERT_FALSE(server.empty());
-    gateway.now = odd;
+    gateway.now = invalid_time;
     gateway.FinishAttempt("a", server, Result::kServed, -7);
     gateway.SetServers({});
     EXPECT_EQ(FakeGateway::CountActions<Send>(gateway.SendRequest("held")), 0);
@@ -345,20 +345,20 @@
   FakeGateway gateway;
   gateway.SetServerCount(3);
   gateway.ServeRequests(60);
-  int hung = 0;
+  int requests_to_hung_server = 0;
   for (int i = 0; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
     const std::string to = FakeGateway::ServerSentTo(gateway.SendRequest(id));
     gateway.AdvanceTime(10);
     if (to == "s0") {  // its requests time out at first; then it is full and rejects them
-      const bool silent = ++hung < 4;
-      if (silent) gateway.now += 200;
-      gateway.FinishAttempt(id, to, silent ? Result::kTimedOut : Result::kRejected, silent ? 200 : 1);
+      const bool times_out = ++requests_to_hung_server < 4;
+      if (times_out) gateway.now += 200;
+      gateway.FinishAttempt(id, to, times_out ? Result::kTimedOut : Result::kRejected, times_out ? 200 : 1);
     } else if (!to.empty()) {
       gateway.FinishAttempt(id, to, Result::kServed, 10);
     }
   }
-  EXPECT_LT(hung, 15);
+  EXPECT_LT(requests_to_hung_server, 15);
 }
 
 // Sends 200 requests per second to four servers with `in_flight` requests in flight, of which every third
@@ -985,40 +985,40 @@
 }
 
 // Sends twice as many requests as one server can handle. Returns the fraction that is answered, by class.
-std::map<std::string, double> AnsweredShares(Settings settings) {
+std::map<std::string, double> AnsweredFractions(Settings settings) {
   FakeGateway gateway(std::move(settings));
   gateway.SetServerCount(1);
   std::map<std::string, int> requests, answered;
   std::deque<std::string> in_flight;
-  const auto note = [&](const std::vector<Action>& actions) {
+  const auto record_sends = [&](const std::vector<Action>& actions) {
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) in_flight.push_back(send->request);
     }
   };
   for (int i = 0; i < 8000; ++i) {
     const std::string class_name = i % 2 == 0 ? "view" : "pay";
-    note(gateway.SendRequest(class_name + std::to_string(i), class_name, 500));
+    record_sends(gateway.SendRequest(class_name + std::to_string(i), class_name, 500));
     ++requests[class_name];
-    note(gateway.AdvanceTime(10));
+    record_sends(gateway.AdvanceTime(10));
     if (i % 2 == 0 || in_flight.empty()) continue;  // a response every 20 ms
     const std::string id = in_flight.front();
     in_flight.pop_front();
     ++answered[id.substr(0, id.find_first_of("0123456789"))];
-    note(gateway.FinishAttempt(id, "s0", Result::kServed, 40));
+    record_sends(gateway.FinishAttempt(id, "s0", Result::kServed, 40));
   }
-  std::map<std::string, double> shares;
-  for (const auto& [class_name, n] : requests) shares[class_name] = 1.0 * answered[class_name] / n;
-  return shares;
+  std::map<std::string, double> fractions;
+  for (const auto& [class_name, n] : requests) fractions[class_name] = 1.0 * answered[class_name] / n;
+  return fractions;
 }
 
 // Guards against starving the class with the lowest worth where Settings::worst_class_weight is set.
 TEST(MostCreditFirst, WorstClassWeightRaisesTheClassWithTheFewestTimelyResponses) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass("view", Effect::kSafe, 1), MakeClass("pay", Effect::kSafe, 8)};
-  const auto by_worth = AnsweredShares(settings);
+  const auto by_worth = AnsweredFractions(settings);
   EXPECT_LT(by_worth.at("view"), by_worth.at("pay") / 2);
   settings.worst_class_weight = 1;
-  const auto lifted = AnsweredShares(settings);
+  const auto lifted = AnsweredFractions(settings);
   EXPECT_NEAR(lifted.at("view"), lifted.at("pay"), 0.15);  // two to three times kTimelyFractionScale
   EXPECT_GT(lifted.at("view"), by_worth.at("view"));
   EXPECT_GT(lifted.at("view") + lifted.at("pay"), 0.9 * (by_worth.at("view") + by_worth.at("pay")));
@@ -1074,8 +1074,8 @@
 // Guards the statistics: cost estimates that are NaN, negative, infinite or far too large must have no
 // effect.
 TEST(Events, InvalidCostEstimatesAreIgnored) {
-  const Millis never = std::numeric_limits<Millis>::quiet_NaN();
-  for (const Millis estimate : {never, -5.0, 1e300, std::numeric_limits<Millis>::infinity()}) {
+  const Millis nan = std::numeric_limits<Millis>::quiet_NaN();
+  for (const Millis estimate : {nan, -5.0, 1e300, std::numeric_limits<Millis>::infinity()}) {
     FakeGateway gateway;
     gateway.SetServerCount(2);
     for (int i = 0; i < 50; ++i) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -141,9 +141,9 @@
         } else if (!chance(0.08)) {
           continue;
         } else if (chance(failure_probability)) {
-          constexpr Result kBad[] = {Result::kError, Result::kRejected, Result::kConnectFailed,
-                                     Result::kReset, Result::kNotSent,  Result::kCancelled};
-          o.result = kBad[random() % 6];
+          constexpr Result kFailures[] = {Result::kError, Result::kRejected, Result::kConnectFailed,
+                                          Result::kReset, Result::kNotSent,  Result::kCancelled};
+          o.result = kFailures[random() % 6];
         }
         attempt.in_flight = false;
         attempt.never_ran = o.result == Result::kRejected || o.result == Result::kConnectFailed ||
