--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -323,8 +323,8 @@
   return max_count;
 }
 
-// Guards the membership source against a queue of requests that are all answered too late: 877 requests at
-// once got 39 responses.
+// Guards the membership source against a queue so long that queued requests are answered too late: in an
+// observed case, 877 requests got 39 responses.
 TEST(LargeFleet, GatewaysThatStartAtOnceSpreadTheirMembershipRequests) {
   const auto watch_times = WatchTimesOfAllGateways(true);
   for (const auto& times : watch_times) {
@@ -402,17 +402,19 @@
 }
 
 TEST(LargeFleet, RequestsMoveFromBusyServersToIdleOnes) {
-  const auto half = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
+  const auto utilization = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 0.95 : 0.3; };
   int busy = 0, idle = 0;
-  for (const auto& [id, n] : RequestsSentByUtilization(half)) (half(id) > 0.5 ? busy : idle) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(utilization))
+    (utilization(id) > 0.5 ? busy : idle) += n;
   EXPECT_GE(idle, 80);
   EXPECT_LE(busy, idle / 5);
 }
 
 TEST(LargeFleet, ServersThatTimeOutAreSentLessWithoutReports) {
-  const auto silent = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
+  const auto utilization = [](const std::string& id) { return (id.back() - '0') % 2 == 0 ? 2.0 : 0.3; };
   int lost = 0, served = 0;
-  for (const auto& [id, n] : RequestsSentByUtilization(silent)) (silent(id) > 1 ? lost : served) += n;
+  for (const auto& [id, n] : RequestsSentByUtilization(utilization))
+    (utilization(id) > 1 ? lost : served) += n;
   EXPECT_LE(lost, served / 3);  // including probes of ejected servers
 }
 
