--- a/src/module/impl.hpp
+++ b/src/module/impl.hpp
@@ -5,7 +5,7 @@
 
 #include <cmath>
 
-#include "module/fleet.hpp"
+#include "module/server_index.hpp"
 #include "module/state.hpp"
 #include "opalswitch/policy.hpp"
 
@@ -144,7 +144,7 @@
   // Updates outlier detection, latency and limits of the server from an attempt's outcome.
   void RecordServerOutcome(TrackedServer& server, const ActiveRequest& request, const Outcome& outcome);
 
-  // --- pick.cpp
+  // --- server_selection.cpp
   // Median latency of the servers that are up; cached, see kMedianUpdateDivisor.
   double MedianLatency();
   // Expected latency of a further request to the server, for comparison; lower is better.
@@ -161,7 +161,7 @@
   // Returns the server to send the request to, or null if none is ready.
   TrackedServer* SelectServer(const ActiveRequest& request);
 
-  // --- bucket.cpp
+  // --- token_bucket.cpp
   // Sets now_, refills the token bucket and decays rates. Time never goes backwards.
   void AdvanceClock(Millis now);
   // Refill rate in tokens per second to start with.
--- a/src/module/fleet.hpp
+++ b/src/module/server_index.hpp
@@ -1,8 +1,8 @@
 // Index over a Policy's servers. It keeps the cost of selecting a server, and of sums over all servers,
 // independent of their number. It makes no decisions: the Policy determines which servers are ready, and
 // when.
-#ifndef OPALSWITCH_FLEET_HPP_
-#define OPALSWITCH_FLEET_HPP_
+#ifndef OPALSWITCH_SERVER_INDEX_HPP_
+#define OPALSWITCH_SERVER_INDEX_HPP_
 
 #include <cstddef>
 #include <set>
@@ -133,4 +133,4 @@
 
 }  // namespace opalswitch
 
-#endif  // OPALSWITCH_FLEET_HPP_
+#endif  // OPALSWITCH_SERVER_INDEX_HPP_
--- a/src/module/state.hpp
+++ b/src/module/state.hpp
@@ -95,7 +95,7 @@
   double send_credit = 0;  // requests that may be sent now; used while HasSendBudget
   Millis send_credit_updated_at = 0;
 
-  // Position in the ServerIndex (fleet.hpp), which maintains these fields.
+  // Position in the ServerIndex (server_index.hpp), which maintains these fields.
   static constexpr std::size_t kNotIndexed = static_cast<std::size_t>(-1);
   static constexpr Millis kNotScheduled = 1e300;
   std::uint64_t sequence_number = 0;  // order in which servers were added
