--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -292,10 +292,10 @@
   ::testing::internal::CaptureStderr();
   {
     GatewayHarness harness(4);
-    std::array<int, 4> taken{};
-    for (std::size_t i = 0; i < taken.size(); ++i) {
+    std::array<int, 4> received{};
+    for (std::size_t i = 0; i < received.size(); ++i) {
       harness.host(i).serve = [&, i](const Peer::ReceivedRequest& request) {
-        ++taken[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
+        ++received[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
     const auto client = harness.Connect();
@@ -941,11 +941,11 @@
     http.set("Req-Deadline", "400m");
     http.set("Req-Cost", cost);
     std::string error;
-    gateway::ClientRequest call;
-    const auto fault = gateway::ReadPlatformRequest({{"view", Effect::kSafe}}, http,
-                                                    *routing::ParseTarget("GET", "/api", error), call);
-    EXPECT_FALSE(fault) << fault->text;
-    return call.cost;
+    gateway::ClientRequest request;
+    const auto rejection = gateway::ReadPlatformRequest({{"view", Effect::kSafe}}, http,
+                                                        *routing::ParseTarget("GET", "/api", error), request);
+    EXPECT_FALSE(rejection) << rejection->text;
+    return request.cost;
   };
   EXPECT_DOUBLE_EQ(parsed_cost("20000"), 20);
   EXPECT_DOUBLE_EQ(parsed_cost("nonsense"), 0);
