--- a/src/gateway/client_request.hpp
+++ b/src/gateway/client_request.hpp
@@ -33,7 +33,7 @@
   std::string client;                            // client address for X-Forwarded-For; empty omits the header
   bool is_retry = false;                         // the client marked this request as a retry of a refused one
   Millis received = 0;                           // when the last byte was read
-  Millis client_timeout = 0;                     // how long the client waits for the response
+  Millis client_timeout = 0;                     // how long the client waits for the response after sending
   Millis cost = 0;                               // the client's estimate of the processing time; 0 = none
   std::uint64_t max_body_bytes = kMaxBodyBytes;  // request body limit of the pool
   std::function<void(HttpResponse)> respond;     // sends the response; further calls are ignored
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -121,7 +121,7 @@
   std::unordered_map<std::string, PendingRequest> requests_;
   std::deque<Event> events_;
   ledger::LossRecorder loss_recorder_;
-  std::unordered_map<std::string, Millis> aim_by_class_;  // by class name
+  std::unordered_map<std::string, Millis> aim_by_class_;
   bool handling_events_ = false;
   bool has_hosts_ = false;
   std::function<void()> on_idle_;
--- a/src/gateway/service_gateway.hpp
+++ b/src/gateway/service_gateway.hpp
@@ -77,9 +77,9 @@
   std::shared_ptr<PoolEntry> MakePool(const config::Pool& pool);
   // Creates the pool's host source and starts it.
   void StartHostSource(PoolEntry& entry, const config::Pool& pool);
-  // Sets each pool's guarantee and maximum in the shared budgets. The guarantees that the file states are
-  // granted; the rest of the default part is divided equally among the pools that state none, and what then
-  // remains is available to all.
+  // Sets each pool's guarantee and maximum in the shared budgets. Guarantees stated in the file are granted.
+  // What they leave of half the budget (kDefaultGuaranteeFraction) is divided equally among the pools that
+  // state none; the rest of the budget is available to any pool that needs it.
   void DistributeBudgets(const Snapshot& snapshot);
   // Applies a pool's list, and passes drains that it reports on to the other pools that list the node.
   void OnMembershipUpdate(PoolEntry& entry, const HostList& list);
--- a/src/ledger/losses.hpp
+++ b/src/ledger/losses.hpp
@@ -29,7 +29,8 @@
   // for refused and failed requests.
   void RecordRequest(const std::string& class_name, RequestOutcome outcome, std::string_view cause,
                      Millis elapsed);
-  // Records an attempt whose work was lost. `spent` (ms) is the upper bound of the server time that it took.
+  // Records an attempt that ended without a served response. `spent` (ms) is the upper bound of the server
+  // time that it took.
   void RecordWastedAttempt(const std::string& class_name, Result result, Millis spent);
 
   // Returns and resets the counts since the last lines, one line a class, if kLogIntervalMs has passed and
@@ -37,7 +38,7 @@
   //   losses class=view at=17.0 worth=5 ended=41 in_time=30 late=3 refused.rate=6 failed.ran=1 gone=1
   //   wasted.reset=2 wasted_ms=80
   // `at` is `now` in seconds; waited_ms is the total time of refused and failed requests, wasted_ms that of
-  // lost attempts.
+  // wasted attempts.
   std::vector<std::string> TakeLogLines(Millis now);
 
  private:
@@ -48,7 +49,7 @@
     std::map<std::string, std::uint64_t> causes;  // by key, such as "refused.rate"; a closed set
   };
 
-  // Configured classes only: requests that name another class are not counted, as clients choose the names.
+  // Configured classes only: clients choose the names, so counting others would use unbounded memory.
   std::unordered_map<std::string, ClassCounts> counts_by_class_;
   std::vector<std::string> class_names_;  // in the order of the settings
   Millis lines_taken_at_ = 0;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -829,7 +829,8 @@
   EXPECT_LE(closed, 62u);
 }
 
-// Guards clients that wait in the listen queue while all connections have requests in progress.
+// Guards clients that wait in the listen queue while all connections have requests in progress: they must be
+// accepted as connections become free.
 TEST(Gateway, AcceptsWaitingClientsAsBusyConnectionsEnd) {
   GatewayHarness harness(1, TestSettings(), 10);  // 3 for clients
   std::vector<std::unique_ptr<Client>> clients;
--- a/tests/service_gateway_test.cpp
+++ b/tests/service_gateway_test.cpp
@@ -259,7 +259,7 @@
 };
 
 // Loads two healthy pools fully, and a third one whose host fails as given; without load on the third for
-// kNot.
+// kNone.
 PoolResults LoadTwoPoolsBesideAThird(HostFailure failure) {
   GatewayHarness harness;
   const auto one = harness.Host(HostFailure::kNone, "one").address(),
