--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -175,7 +175,7 @@
   const auto updates = nodes_.ApplyUpdate(found->second->registry_id, list, now);
   ApplyUpdates(updates, now);
   for (auto& [name, pool] : pools_) {
-    const auto update = std::find_if(updates.begin(), updates.end(), [&](const auto& candidate) {
+    const auto update = std::find_if(updates.begin(), updates.end(), [&pool = pool](const auto& candidate) {
       return candidate.pool == pool->registry_id;
     });
     if (update == updates.end()) continue;
--- a/src/xds/stream_hub.cpp
+++ b/src/xds/stream_hub.cpp
@@ -231,9 +231,10 @@
     }
   };
   for (const auto& [id, stream] : streams_) {
-    check(stream.node.id, stream.group, stream.leases, [&](ResourceType type, const std::string& name) {
-      return stream.session.OldestUsable(type, name);
-    });
+    check(stream.node.id, stream.group, stream.leases,
+          [&stream = stream](ResourceType type, const std::string& name) {
+            return stream.session.OldestUsable(type, name);
+          });
   }
   for (const DisconnectedProxy& proxy : disconnected_) {
     check(proxy.proxy, proxy.group, proxy.leases, [&](ResourceType type, const std::string& name) {
