--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -15,9 +15,9 @@
   const auto to_ms = [](auto time) {
     return std::chrono::duration<double, std::milli>(time.time_since_epoch()).count();
   };
-  static const Millis offset =
+  static const Millis kUnixTimeOffset =
       to_ms(std::chrono::system_clock::now()) - to_ms(std::chrono::steady_clock::now());
-  return to_ms(std::chrono::steady_clock::now()) + offset;
+  return to_ms(std::chrono::steady_clock::now()) + kUnixTimeOffset;
 }
 
 // Converts to a duration for asio's timers, which take whole units. Negative times become 0.
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -183,7 +183,7 @@
 };
 
 const std::vector<HostReaction>& HostReactions() {
-  static const std::vector<HostReaction> all = {
+  static const std::vector<HostReaction> kHostReactions = {
       {"reset", [](const auto& r) { r.connection->Reset(); }, true},
       {"closed", [](const auto& r) { r.connection->Close(); }, true},
       {"truncated response",
@@ -244,7 +244,7 @@
       {"503 with Srv-Declined", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "1"); }, false},
       {"504 with Srv-Declined", [](const auto& r) { r.Answer(504, "", "Srv-Declined", "1"); }, false},
   };
-  return all;
+  return kHostReactions;
 }
 
 // Guards against running an unsafe request twice: it may be retried only if it never ran. In doubt the client
