--- a/src/xds/control_plane.cpp
+++ b/src/xds/control_plane.cpp
@@ -13,12 +13,12 @@
 
 // Whether an endpoint differs enough from its published version to be published again.
 bool DiffersFromPublished(const EndpointAssignment& published, const EndpointAssignment& current,
-                          double threshold) {
+                          double weight_change_fraction) {
   if (published.health != current.health || published.zone != current.zone ||
       published.address != current.address || published.port != current.port)
     return true;
   const double before = published.weight, after = current.weight;
-  return published.weight != current.weight && std::abs(after - before) >= threshold * before;
+  return published.weight != current.weight && std::abs(after - before) >= weight_change_fraction * before;
 }
 
 void Append(ControlPlane::OutgoingMessages& to, ControlPlane::OutgoingMessages more) {
